--- a/src/common/fleet/addresses/address-book.test.ts
+++ b/src/common/fleet/addresses/address-book.test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {seededRandom} from '../../random/random.ts';
 import {testHash} from '../test-utilities.test.ts';
-import {AddressBook, type AddressCandidate} from './address-book.ts';
+import {AddressSelector, type AddressCandidate} from './address-book.ts';
 
 const settings = {
 	identity: 'vm', peerAddress: 'vm:1', callAddress: 'vm:2', dataCentre: 'dc-0', seeds: [], defaultPeerPort: 1, shareSlots: 24,
@@ -16,13 +16,13 @@
 	}));
 }
 
-function book(seed: number): AddressBook {
-	return new AddressBook(settings, seededRandom(seed), testHash);
+function createSelector(seed: number): AddressSelector {
+	return new AddressSelector(settings, seededRandom(seed), testHash);
 }
 
 /** Where 3,000 callers go that ask once each and use the first address named. */
 function firstChoices(candidates: readonly AddressCandidate[], dataCentre?: string): Map<string, number> {
-	const answers = book(1);
+	const answers = createSelector(1);
 	const counts = new Map<string, number>();
 	for (let caller = 0; caller < 3000; caller += 1) {
 		const first = answers.answer('reads', {revision: 1, vms: candidates}, 0, dataCentre).addresses[0]!.address;
@@ -68,7 +68,7 @@
 		const all = vms(200);
 		const subsetOf = (candidates: readonly AddressCandidate[], calls: number, seed: number): Set<string> => {
 			const named = new Set<string>();
-			const answers = book(seed);
+			const answers = createSelector(seed);
 			for (let time = 0; time < 400; time += 1) {
 				for (const {address} of answers.answer('reads', {revision: 1, vms: candidates}, calls, undefined).addresses) {
 					named.add(address);
@@ -90,22 +90,22 @@
 
 	// A subset is kept until the VMs change. Kept longer, it would name a VM that has left.
 	it('follow a change of the VMs at once, and their loads always', () => {
-		const answers = book(5);
-		const ask = (revision: number, candidates: readonly AddressCandidate[]) => answers.answer('reads', {revision, vms: candidates}, 0, undefined).addresses;
+		const answers = createSelector(5);
+		const addressesFor = (revision: number, candidates: readonly AddressCandidate[]) => answers.answer('reads', {revision, vms: candidates}, 0, undefined).addresses;
 		const all = vms(40);
-		const first = ask(1, all)[0]!.address;
+		const first = addressesFor(1, all)[0]!.address;
 		const rest = all.filter(({record}) => record.callAddress !== first);
-		const later = Array.from({length: 50}, () => ask(2, rest)).flat();
+		const later = Array.from({length: 50}, () => addressesFor(2, rest)).flat();
 		expect(later.some(({address}) => address === first)).toEqual(false);
 		const loaded = {record: {...rest[0]!.record}};
 		const single = [loaded];
-		const before = ask(3, single)[0]!.weight;
+		const before = addressesFor(3, single)[0]!.weight;
 		loaded.record = {...loaded.record, utilisation: 1};
-		expect([before, ask(3, single)[0]!.weight]).toEqual([1, 0.25]);
+		expect([before, addressesFor(3, single)[0]!.weight]).toEqual([1, 0.25]);
 	});
 
 	it('expire at different times, never later than the setting', () => {
-		const answers = book(9);
+		const answers = createSelector(9);
 		const times = Array.from({length: 200}, () => answers.answer('reads', {revision: 1, vms: vms(3)}, 0, undefined).keepForMilliseconds);
 		expect(Math.max(...times)).toBeLessThanOrEqual(5000);
 		expect(Math.min(...times)).toBeGreaterThan(3999);
--- a/src/common/fleet/configuration/change-attempt.ts
+++ b/src/common/fleet/configuration/change-attempt.ts
@@ -19,12 +19,12 @@
 	| 'WRITTEN' | 'LOST' | 'UNAVAILABLE' | 'UNKNOWN' | 'RETRY' | 'DEADLINE' | 'FOUND' | 'UNCHANGED' | 'MOVED_ON';
 
 /** How long an operator waits at most for a certain answer. Past it the answer is "unknown". */
-const answerMilliseconds = 10_000;
-const firstDoubtMilliseconds = 100;
-const longestDoubtMilliseconds = 1000;
+const answerTimeoutMilliseconds = 10_000;
+const initialReadBackMilliseconds = 100;
+const maxReadBackMilliseconds = 1000;
 
 /** Tries against other writers; each failed one means that another change got in, so the store as a whole moves on. */
-const mostPlans = 32;
+const maxPlans = 32;
 
 /** What is to be committed: the head to write, and what it brings into force. */
 type Commit = {readonly base: HeadBase; readonly record: ChangeRecord; readonly head: ConfigurationHead};
@@ -53,7 +53,7 @@
 			this._confirm();
 		},
 		waitInDoubt: () => {
-			this._waitInDoubt();
+			this._scheduleReadBack();
 		},
 		readBack: () => {
 			this._readBack();
@@ -68,8 +68,8 @@
 	private _base: HeadBase | undefined;
 	private _record: ChangeRecord | undefined;
 	private _commit: Commit | undefined;
-	private _plans = 0;
-	private _gracePeriod = 0;
+	private _planCount = 0;
+	private _uncertainOutcomes = 0;
 
 	constructor(
 		private readonly _context: FleetContext,
@@ -78,7 +78,7 @@
 		private readonly _change: OperatorChange,
 		private readonly _onAnswer: (answer: OperatorAnswer) => void,
 	) {
-		this._deadline = _context.now + answerMilliseconds;
+		this._deadline = _context.now + answerTimeoutMilliseconds;
 		this._answer = this._refused('store-unavailable', 'The platform\'s service could not be reached; this request changed nothing, an earlier sending of it may have.');
 	}
 
@@ -91,12 +91,12 @@
 	}
 
 	private _begin(): void {
-		this._base = this._knownBase();
+		this._base = this._unconfirmedBase();
 		this._chart.send(this._base ? 'HAS_BASE' : 'NO_BASE');
 	}
 
 	/** The newest head that this VM has seen. It was the newest once; that says nothing about now. */
-	private _knownBase(): HeadBase | undefined {
+	private _unconfirmedBase(): HeadBase | undefined {
 		const {base} = this._reader;
 		return base && {...base, isConfirmed: false};
 	}
@@ -110,18 +110,18 @@
 
 	private _plan(): void {
 		const base = this._base!;
-		this._plans += 1;
+		this._planCount += 1;
 		// Whatever stops this try before its own answer: an earlier try's verdict must not be told.
 		this._answer = this._refused('store-unavailable', 'The platform\'s service could not be reached; nothing was changed.');
 		// The same operation may have been sent before, through another VM, and its answer lost.
 		const earlier = base.head.records.find(record => record.operationId === this._change.operationId);
 		if (earlier) {
 			this._settle({type: 'accepted', version: earlier.version});
-		} else if (this._isDoubtBeyondHistory(base)) {
+		} else if (this._isUncertainWriteBeyondHistory(base)) {
 			this._settle({type: 'unknown', operationId: this._change.operationId});
-		} else if (this._plans > mostPlans) {
+		} else if (this._planCount > maxPlans) {
 			this._settle(this._refused('contended', 'Other changes came first each time; nothing was changed.'));
-		} else if (base.head.version > this._state.version || !this._state.isKnown) {
+		} else if (base.head.version > this._state.version || !this._state.isLoaded) {
 			this._chart.send('BEHIND');
 		} else if (base.head.version < this._state.version) {
 			this._answer = this._refused('store-lost-configuration', 'The platform\'s service holds an older configuration than the one in force; nothing was changed.');
@@ -136,17 +136,17 @@
 	 * Guard: after a lost answer the proof that the write never took effect is a history without it. A
 	 * history that no longer reaches back so far proves nothing; "not accepted" could be a falsehood.
 	 */
-	private _isDoubtBeyondHistory(base: HeadBase): boolean {
-		const doubtful = this._gracePeriod > 0 ? this._commit?.record.version : undefined;
+	private _isUncertainWriteBeyondHistory(base: HeadBase): boolean {
+		const uncertainVersion = this._uncertainOutcomes > 0 ? this._commit?.record.version : undefined;
 		const oldest = base.head.records[0]?.version ?? base.head.version + 1;
-		return doubtful !== undefined && base.head.version >= doubtful && oldest > doubtful;
+		return uncertainVersion !== undefined && base.head.version >= uncertainVersion && oldest > uncertainVersion;
 	}
 
 	private _planOnState(base: HeadBase): void {
 		const planned = planChange({version: this._state.version, resources: this._state.resources, records: base.head.records}, this._change);
 		if (planned.isErr()) {
 			this._answer = planned.error;
-			this._uncertain();
+			this._settleIfConfirmed();
 			return;
 		}
 
@@ -164,7 +164,7 @@
 	 * A negative answer may rest on a stale replica. Before it is given, a compare-and-swap that writes the
 	 * head's own content proves that this head is the newest; if it is not, the change is planned again.
 	 */
-	private _uncertain(): void {
+	private _settleIfConfirmed(): void {
 		this._chart.send(this._base?.isConfirmed ? 'SETTLED' : 'UNCERTAIN');
 	}
 
@@ -175,9 +175,9 @@
 
 	private _catchUp(): void {
 		this._reader.catchUp(outcome => {
-			const isUp = outcome === 'read' && this._state.isKnown && this._state.version >= (this._base?.head.version ?? 0);
-			this._base = this._knownBase();
-			this._chart.send(isUp ? 'CAUGHT_UP' : 'FAILED');
+			const isCaughtUp = outcome === 'read' && this._state.isLoaded && this._state.version >= (this._base?.head.version ?? 0);
+			this._base = this._unconfirmedBase();
+			this._chart.send(isCaughtUp ? 'CAUGHT_UP' : 'FAILED');
 		});
 	}
 
@@ -232,22 +232,22 @@
 		this._context.requestStore({
 			type: 'compare-and-swap', key: headKey, expected: base.revision, value: encodeHead(head),
 		}, reply => {
-			this._takeCommitReply(reply);
+			this._handleCommitReply(reply);
 		});
 	}
 
-	private _takeCommitReply(reply: StoreReply): void {
+	private _handleCommitReply(reply: StoreReply): void {
 		if (reply.type === 'written') {
 			this._accept(reply.revision);
 		} else if (reply.type === 'conflict') {
-			this._takeWinner(reply);
+			this._handleConflict(reply);
 		} else {
-			const isUntouched = reply.type === 'unavailable';
-			if (!isUntouched) {
-				this._gracePeriod += 1;
+			const isNotExecuted = reply.type === 'unavailable';
+			if (!isNotExecuted) {
+				this._uncertainOutcomes += 1;
 			}
 
-			this._chart.send(isUntouched ? 'UNAVAILABLE' : 'UNKNOWN');
+			this._chart.send(isNotExecuted ? 'UNAVAILABLE' : 'UNKNOWN');
 		}
 	}
 
@@ -261,12 +261,12 @@
 		}
 
 		this._reader.observeBase({revision, head, isConfirmed: true});
-		this._dropOldShards(base.head, head);
+		this._deleteOldShards(base.head, head);
 		this._chart.send('WRITTEN');
 	}
 
 	/** A reader of the old snapshot that finds a shard gone reads the head again. */
-	private _dropOldShards(before: ConfigurationHead, after: ConfigurationHead): void {
+	private _deleteOldShards(before: ConfigurationHead, after: ConfigurationHead): void {
 		if (before.snapshot.version !== after.snapshot.version) {
 			for (const {key, revision} of before.snapshot.shards) {
 				this._context.requestStore({type: 'delete', key, expected: revision}, () => undefined);
@@ -274,7 +274,7 @@
 		}
 	}
 
-	private _takeWinner(reply: StoreReply & {readonly type: 'conflict'}): void {
+	private _handleConflict(reply: StoreReply & {readonly type: 'conflict'}): void {
 		this._base = this._reader.observe(reply.entry, true);
 		if (this._base) {
 			this._chart.send('LOST');
@@ -296,30 +296,30 @@
 		this._context.requestStore({
 			type: 'compare-and-swap', key: headKey, expected: revision, value: encodeHead(head),
 		}, reply => {
-			this._takeConfirmation(reply, head);
+			this._handleConfirmReply(reply, head);
 		});
 	}
 
-	private _takeConfirmation(reply: StoreReply, head: ConfigurationHead): void {
+	private _handleConfirmReply(reply: StoreReply, head: ConfigurationHead): void {
 		if (reply.type === 'written') {
 			this._reader.observeBase({revision: reply.revision, head, isConfirmed: true});
 			this._chart.send('WRITTEN');
 		} else if (reply.type === 'conflict') {
-			this._takeWinner(reply);
+			this._handleConflict(reply);
 		} else {
 			this._answer = this._refused('store-unavailable', 'The platform\'s service could not be reached; this request changed nothing, an earlier sending of it may have.');
 			this._chart.send('FAILED');
 		}
 	}
 
-	private _waitInDoubt(): void {
+	private _scheduleReadBack(): void {
 		this._answer = {type: 'unknown', operationId: this._change.operationId};
 		if (this._context.now >= this._deadline) {
 			this._chart.send('DEADLINE');
 			return;
 		}
 
-		const wait = Math.min(longestDoubtMilliseconds, firstDoubtMilliseconds * (2 ** Math.min(this._gracePeriod, 8)));
+		const wait = Math.min(maxReadBackMilliseconds, initialReadBackMilliseconds * (2 ** Math.min(this._uncertainOutcomes, 8)));
 		this._context.timers.set(`change-${this._change.operationId}`, this._context.now + this._context.jitter(wait), () => {
 			this._chart.send('RETRY');
 		});
@@ -335,7 +335,7 @@
 		const {base, record} = this._commit!;
 		this._reader.readHead((outcome, read) => {
 			if (outcome === 'failed' || !read || read.revision < base.revision) {
-				this._gracePeriod += 1;
+				this._uncertainOutcomes += 1;
 				this._chart.send('FAILED');
 			} else if (read.revision === base.revision) {
 				this._chart.send('UNCHANGED');
--- a/src/common/fleet/configuration/configuration-property.test.ts
+++ b/src/common/fleet/configuration/configuration-property.test.ts
@@ -12,7 +12,7 @@
 		| {readonly kind: 'store'; readonly mode: StoreMode; readonly share: number; readonly milliseconds: number}
 		| {readonly kind: 'pause' | 'kill' | 'add'; readonly vm: number; readonly milliseconds: number};
 
-const time = fc.integer({min: 1, max: 4000});
+const faultMilliseconds = fc.integer({min: 1, max: 4000});
 const steps: fc.Arbitrary<Step[]> = fc.array(fc.oneof(
 	{
 		weight: 4, arbitrary: fc.record({
@@ -24,15 +24,15 @@
 			kind: fc.constant('store' as const), mode: fc.constantFrom<StoreMode>('up', 'down', 'lost', 'late', 'stale'), share: fc.nat(2), milliseconds: fc.integer({min: 1, max: 15_000}),
 		}),
 	},
-	{weight: 1, arbitrary: fc.record({kind: fc.constantFrom('pause' as const, 'kill' as const, 'add' as const), vm: fc.nat(9), milliseconds: time})},
+	{weight: 1, arbitrary: fc.record({kind: fc.constantFrom('pause' as const, 'kill' as const, 'add' as const), vm: fc.nat(9), milliseconds: faultMilliseconds})},
 ), {minLength: 5, maxLength: 25});
 
 /** What an operator asked, and the version that the service held at that moment. */
-type Question = {readonly key: ResourceKey; readonly expected: number | undefined; readonly headVersion: number};
+type RequestRecord = {readonly key: ResourceKey; readonly expected: number | undefined; readonly headVersion: number};
 
 class ConfigurationRun {
 	readonly fleet: FakeFleet;
-	readonly questions = new Map<number, Question>();
+	readonly requests = new Map<number, RequestRecord>();
 
 	constructor(seed: number) {
 		this.fleet = new FakeFleet(seed);
@@ -43,7 +43,7 @@
 		this.fleet.run(3000);
 	}
 
-	take(step: Step, index: number): void {
+	apply(step: Step, index: number): void {
 		const running = this.fleet.vms.filter(({isRunning}) => isRunning);
 		const vm = step.kind === 'store' ? undefined : running[step.vm % Math.max(1, running.length)];
 		if (step.kind === 'store') {
@@ -62,8 +62,8 @@
 			// The operator has read through another VM than the one that is asked.
 			const other = running[(step.vm + 1) % running.length]!;
 			const expected = step.isChecked ? other.engine.resource(`service/${name}`)?.metadata.version ?? 0 : undefined;
-			this.questions.set(index, {key: `service/${name}`, expected, headVersion: this.fleet.headVersion()});
-			this.fleet.tell(vm, {type: 'operator-change', requestId: index, change: testChange(operationId, [testService(name)], expected)});
+			this.requests.set(index, {key: `service/${name}`, expected, headVersion: this.fleet.headVersion()});
+			this.fleet.dispatch(vm, {type: 'operator-change', requestId: index, change: testChange(operationId, [testService(name)], expected)});
 		} else if (vm && step.kind === 'pause') {
 			this.fleet.pause(vm, step.milliseconds);
 		} else if (vm && running.length > 1) {
@@ -94,7 +94,7 @@
 		fc.assert(fc.property(steps, fc.nat(1000), (list, seed) => {
 			const run = new ConfigurationRun(seed);
 			for (const [index, step] of list.entries()) {
-				run.take(step, index);
+				run.apply(step, index);
 			}
 
 			run.heal();
@@ -103,7 +103,7 @@
 			const history = survivors[0]!.engine.history(1000);
 			const versionOf = new Map(history.map(({operationId, version}) => [operationId, version]));
 			for (const vm of fleet.vms) {
-				for (const {requestId, answer, headVersion} of vm.answered) {
+				for (const {requestId, answer, headVersion} of vm.answerRecords) {
 					const operationId = `operation-${requestId}`;
 					counts[answer.type] = (counts[answer.type] ?? 0) + 1;
 					if (answer.type === 'accepted') {
@@ -114,8 +114,8 @@
 
 					if (answer.type === 'conflict') {
 						// False if the resource stood at the expected version from the question to the answer.
-						const {key, expected, headVersion: askedAt} = run.questions.get(requestId)!;
-						expect([versionAt(history, key, askedAt), versionAt(history, key, headVersion)]).not.toEqual([expected!, expected!]);
+						const {key, expected, headVersion: requestedAtVersion} = run.requests.get(requestId)!;
+						expect([versionAt(history, key, requestedAtVersion), versionAt(history, key, headVersion)]).not.toEqual([expected!, expected!]);
 					} else if (answer.type === 'refused') {
 						expect(['store-unavailable', 'contended']).toInclude(answer.failure.kind);
 					}
--- a/src/common/fleet/configuration/configuration-reader.ts
+++ b/src/common/fleet/configuration/configuration-reader.ts
@@ -18,29 +18,29 @@
 };
 
 /** A waiting watch counts as one call; long ones cost the service least and tell as soon as short ones. */
-const watchMilliseconds = 20_000;
+const watchTimeoutMilliseconds = 20_000;
 
 /** First and longest wait after a failed read or watch: an outage must not be met by a storm of reads. */
-const firstRetryMilliseconds = 250;
-const longestRetryMilliseconds = 2000;
+const initialRetryMilliseconds = 250;
+const maxRetryMilliseconds = 2000;
 
 /** A VM that doesn't watch still reads the head now and then, should its peers be wrong about who watches. */
-const pollMilliseconds = 30_000;
+const pollIntervalMilliseconds = 30_000;
 
 /** Without any live peer the store's answers are the only proof that the configuration is not old. */
-const lonelyPollMilliseconds = 2000;
-const pollCheckMilliseconds = 1000;
+const isolatedPollIntervalMilliseconds = 2000;
+const pollCheckIntervalMilliseconds = 1000;
 
 type ReadOutcome = 'read' | 'failed';
 
 export class ConfigurationReader {
-	private readonly _isLonely: () => boolean;
+	private readonly _hasNoLivePeer: () => boolean;
 	private _lastReadAt = 0;
 	private _base: HeadBase | undefined;
 	private _isWatching = false;
-	private _isWatchWaiting = false;
-	private _failures = 0;
-	private _loading: Array<(outcome: ReadOutcome) => void> | undefined;
+	private _isWatchPending = false;
+	private _consecutiveFailures = 0;
+	private _loadCallbacks: Array<(outcome: ReadOutcome) => void> | undefined;
 
 	constructor(
 		private readonly _context: FleetContext,
@@ -48,11 +48,11 @@
 		/** Called whenever the configuration in force has moved forward. */
 		private readonly _onAdopted: () => void,
 		/** Whether an empty service may be believed: a stale replica shows one too. */
-		private readonly _mayStartEmpty: () => boolean,
+		private readonly _mayAdoptEmpty: () => boolean,
 		/** Whether no other VM answers. */
-		isLonely: () => boolean,
+		hasNoLivePeer: () => boolean,
 	) {
-		this._isLonely = isLonely;
+		this._hasNoLivePeer = hasNoLivePeer;
 	}
 
 	/** The newest head seen. */
@@ -120,13 +120,13 @@
 	/** Brings the configuration in force up to the newest head seen. */
 	catchUp(onDone: (outcome: ReadOutcome) => void): void {
 		const head = this._base?.head;
-		if (!head || (this._state.isKnown && head.version <= this._state.version)) {
+		if (!head || (this._state.isLoaded && head.version <= this._state.version)) {
 			onDone(head ? 'read' : 'failed');
 			return;
 		}
 
 		if (head.version === 0) {
-			this._startEmpty();
+			this._adoptEmpty();
 			onDone('read');
 			return;
 		}
@@ -143,19 +143,19 @@
 		this._loadSnapshot(head, onDone);
 	}
 
-	private _startEmpty(): void {
-		if (this._mayStartEmpty() && this._state.replace(0, [], [])) {
+	private _adoptEmpty(): void {
+		if (this._mayAdoptEmpty() && this._state.replace(0, [], [])) {
 			this._onAdopted();
 		}
 	}
 
 	private _loadSnapshot(head: ConfigurationHead, onDone: (outcome: ReadOutcome) => void): void {
-		if (this._loading) {
-			this._loading.push(onDone);
+		if (this._loadCallbacks) {
+			this._loadCallbacks.push(onDone);
 			return;
 		}
 
-		this._loading = [onDone];
+		this._loadCallbacks = [onDone];
 		const resources: StoredResource[] = [];
 		this._loadShard(head, 0, resources);
 	}
@@ -182,8 +182,8 @@
 	}
 
 	private _finishLoading(head: ConfigurationHead, resources: readonly StoredResource[]): void {
-		const upTo = head.records.filter(record => record.version <= head.snapshot.version);
-		const isReplaced = this._state.replace(head.snapshot.version, resources, upTo);
+		const snapshotRecords = head.records.filter(record => record.version <= head.snapshot.version);
+		const isReplaced = this._state.replace(head.snapshot.version, resources, snapshotRecords);
 		const isAdopted = this._state.adopt(head.records);
 		if (isReplaced || isAdopted) {
 			this._onAdopted();
@@ -194,9 +194,9 @@
 	}
 
 	private _endLoading(outcome: ReadOutcome): void {
-		const waiting = this._loading ?? [];
-		this._loading = undefined;
-		for (const onDone of waiting) {
+		const callbacks = this._loadCallbacks ?? [];
+		this._loadCallbacks = undefined;
+		for (const onDone of callbacks) {
 			onDone(outcome);
 		}
 	}
@@ -208,7 +208,7 @@
 				return;
 			}
 
-			this._failures = 0;
+			this._consecutiveFailures = 0;
 			this._lastReadAt = this._context.now;
 			this._scheduleCheck();
 			this._watch();
@@ -216,10 +216,10 @@
 	}
 
 	private _scheduleCheck(): void {
-		const wait = this._state.isKnown ? pollCheckMilliseconds : firstRetryMilliseconds;
+		const wait = this._state.isLoaded ? pollCheckIntervalMilliseconds : initialRetryMilliseconds;
 		this._context.timers.set('configuration-poll', this._context.now + this._context.jitter(wait), () => {
-			const interval = this._isLonely() ? lonelyPollMilliseconds : pollMilliseconds;
-			if (!this._state.isKnown || this._context.now - this._lastReadAt >= interval) {
+			const interval = this._hasNoLivePeer() ? isolatedPollIntervalMilliseconds : pollIntervalMilliseconds;
+			if (!this._state.isLoaded || this._context.now - this._lastReadAt >= interval) {
 				this._poll();
 			} else {
 				this._scheduleCheck();
@@ -228,34 +228,34 @@
 	}
 
 	private _retryLater(): void {
-		const wait = Math.min(longestRetryMilliseconds, firstRetryMilliseconds * (2 ** Math.min(this._failures, 8)));
-		this._failures += 1;
+		const wait = Math.min(maxRetryMilliseconds, initialRetryMilliseconds * (2 ** Math.min(this._consecutiveFailures, 8)));
+		this._consecutiveFailures += 1;
 		this._context.timers.set('configuration-poll', this._context.now + this._context.jitter(wait), () => {
 			this._poll();
 		});
 	}
 
 	private _watch(): void {
-		if (!this._isWatching || this._isWatchWaiting || !this._base) {
+		if (!this._isWatching || this._isWatchPending || !this._base) {
 			return;
 		}
 
-		this._isWatchWaiting = true;
+		this._isWatchPending = true;
 		this._context.requestStore({
-			type: 'watch', prefix: headKey, after: this._base.revision, milliseconds: watchMilliseconds,
+			type: 'watch', prefix: headKey, after: this._base.revision, milliseconds: watchTimeoutMilliseconds,
 		}, reply => {
-			this._isWatchWaiting = false;
-			this._takeWatchReply(reply);
+			this._isWatchPending = false;
+			this._handleWatchReply(reply);
 		});
 	}
 
-	private _takeWatchReply(reply: StoreReply): void {
+	private _handleWatchReply(reply: StoreReply): void {
 		if (reply.type !== 'changes') {
 			this._retryLater();
 			return;
 		}
 
-		this._failures = 0;
+		this._consecutiveFailures = 0;
 		for (const entry of reply.entries) {
 			if (entry.key === headKey) {
 				this.observe(entry, false);
--- a/src/common/fleet/configuration/configuration-state.ts
+++ b/src/common/fleet/configuration/configuration-state.ts
@@ -5,7 +5,7 @@
 } from '../../model/resources.ts';
 import {type ChangeRecord} from '../peer-messages.ts';
 import {type ConfigurationVersion} from '../types.ts';
-import {historyRecords} from './head.ts';
+import {maxHistoryRecords} from './head.ts';
 
 /** Keys a record touches. */
 export function mutationKey(mutation: ChangeRecord['mutations'][number]): ResourceKey {
@@ -30,7 +30,7 @@
  */
 export class ConfigurationState {
 	private _version: ConfigurationVersion = 0;
-	private _isKnown = false;
+	private _isLoaded = false;
 	private _resources = new Map<ResourceKey, StoredResource>();
 	private _records: ChangeRecord[] = [];
 
@@ -39,8 +39,8 @@
 	}
 
 	/** False until a first configuration was taken over, be it an empty one. */
-	get isKnown(): boolean {
-		return this._isKnown;
+	get isLoaded(): boolean {
+		return this._isLoaded;
 	}
 
 	get resources(): ReadonlyMap<ResourceKey, StoredResource> {
@@ -55,19 +55,19 @@
 	/** Applies the records that follow on from what is in force; true if anything changed. */
 	adopt(records: readonly ChangeRecord[]): boolean {
 		const before = this._version;
-		const isFirst = !this._isKnown && records[0]?.version === 1;
+		const isFirst = !this._isLoaded && records[0]?.version === 1;
 		for (const record of records) {
-			const isNext = record.version === this._version + 1 && (this._isKnown || isFirst);
+			const isNext = record.version === this._version + 1 && (this._isLoaded || isFirst);
 			if (isNext && !record.isInSnapshotOnly) {
 				applyMutations(this._resources, record);
 				this._version = record.version;
-				this._isKnown = true;
+				this._isLoaded = true;
 				this._records.push(record);
 			}
 		}
 
-		if (this._records.length > historyRecords) {
-			this._records = this._records.slice(-historyRecords);
+		if (this._records.length > maxHistoryRecords) {
+			this._records = this._records.slice(-maxHistoryRecords);
 		}
 
 		return this._version > before;
@@ -75,13 +75,13 @@
 
 	/** Takes over a whole configuration if it is newer than what is in force, or the first. */
 	replace(version: ConfigurationVersion, resources: Iterable<StoredResource>, records: readonly ChangeRecord[]): boolean {
-		if (this._isKnown && version <= this._version) {
+		if (this._isLoaded && version <= this._version) {
 			return false;
 		}
 
 		this._resources = new Map([...resources].map(stored => [resourceKey(stored.resource), stored]));
 		this._version = version;
-		this._isKnown = true;
+		this._isLoaded = true;
 		this._records = records.filter(record => record.version <= version);
 		return true;
 	}
--- a/src/common/fleet/configuration/configuration-writer.ts
+++ b/src/common/fleet/configuration/configuration-writer.ts
@@ -5,11 +5,11 @@
 import {type ConfigurationReader} from './configuration-reader.ts';
 import {type ConfigurationState} from './configuration-state.ts';
 
-type Waiting = {readonly change: OperatorChange; readonly onAnswer: (answer: OperatorAnswer) => void};
+type QueuedChange = {readonly change: OperatorChange; readonly onAnswer: (answer: OperatorAnswer) => void};
 
 export class ConfigurationWriter {
 	private readonly _reader: ConfigurationReader;
-	private readonly _waiting: Waiting[] = [];
+	private readonly _queue: QueuedChange[] = [];
 	private _isBusy = false;
 
 	constructor(
@@ -21,12 +21,12 @@
 	}
 
 	submit(change: OperatorChange, onAnswer: (answer: OperatorAnswer) => void): void {
-		this._waiting.push({change, onAnswer});
+		this._queue.push({change, onAnswer});
 		this._startNext();
 	}
 
 	private _startNext(): void {
-		const next = this._isBusy ? undefined : this._waiting.shift();
+		const next = this._isBusy ? undefined : this._queue.shift();
 		if (!next) {
 			return;
 		}
--- a/src/common/fleet/configuration/configuration.test.ts
+++ b/src/common/fleet/configuration/configuration.test.ts
@@ -14,7 +14,7 @@
 }
 
 function change(fleet: FakeFleet, vm: FakeVm, operationId: string, name: string, expectedVersion?: number): void {
-	fleet.tell(vm, {type: 'operator-change', requestId: 1, change: testChange(operationId, [testService(name)], expectedVersion)});
+	fleet.dispatch(vm, {type: 'operator-change', requestId: 1, change: testChange(operationId, [testService(name)], expectedVersion)});
 }
 
 function inForce(fleet: FakeFleet): unknown {
@@ -59,11 +59,11 @@
 		fleet.modeOf = (_vm, operation) => (operation.type === 'compare-and-swap' && operation.key.endsWith('head') ? 'lost' : 'down');
 		change(fleet, fleet.vms[1]!, 'doubtful', 'orders');
 		fleet.run(15_000);
-		const told = [...fleet.vms[1]!.answers];
+		const firstAnswers = [...fleet.vms[1]!.answers];
 		fleet.modeOf = () => undefined;
 		change(fleet, fleet.vms[2]!, 'doubtful', 'orders');
 		fleet.run(5000);
-		expect({told, again: fleet.vms[2]!.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
+		expect({told: firstAnswers, again: fleet.vms[2]!.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
 	// A write is held up on its way for 3 s; its answer is given up long before. Reading back shows nothing, and the
@@ -93,10 +93,10 @@
 		change(fleet, fleet.vms[0]!, 'newer', 'orders', 1);
 		fleet.run(490);
 		late.isPaused = false;
-		const known = late.engine.resource('service/orders')!.metadata.version;
+		const knownVersion = late.engine.resource('service/orders')!.metadata.version;
 		change(fleet, late, 'newest', 'orders', 2);
 		fleet.run(1000);
-		expect({known, answers: late.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
+		expect({known: knownVersion, answers: late.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
 	// Two operators change the same service at once through two VMs, each from version 1. Both would believe they
@@ -148,17 +148,17 @@
 	it('deleted and made again under its name, a resource has a new identity', function () {
 		const fleet = fleetOf(2);
 		const vm = fleet.vms[0]!;
-		fleet.tell(vm, {type: 'operator-change', requestId: 1, change: testChange('first', [testService('orders'), testBackendServer('a', 'orders')])});
+		fleet.dispatch(vm, {type: 'operator-change', requestId: 1, change: testChange('first', [testService('orders'), testBackendServer('a', 'orders')])});
 		fleet.run(500);
 		const before = [...vm.configuration!.backendServers.keys()];
-		fleet.tell(vm, {type: 'leaving-sign', sign: {identity: before[0]!, instance: 'p1', source: 'answer'}});
-		fleet.tell(vm, {
+		fleet.dispatch(vm, {type: 'leaving-sign', sign: {identity: before[0]!, instance: 'p1', source: 'answer'}});
+		fleet.dispatch(vm, {
 			type: 'operator-change',
 			requestId: 2,
 			change: {...testChange('gone', []), mutations: [{type: 'delete', key: 'backend-server/a', expectedVersion: 1}]},
 		});
 		fleet.run(500);
-		fleet.tell(vm, {type: 'operator-change', requestId: 3, change: testChange('again', [testBackendServer('a', 'orders')], 0)});
+		fleet.dispatch(vm, {type: 'operator-change', requestId: 3, change: testChange('again', [testBackendServer('a', 'orders')], 0)});
 		fleet.run(500);
 		expect({
 			before, after: [...fleet.vms[1]!.configuration!.backendServers.keys()], signs: fleet.vms.map(({engine}) => engine.status(fleet.now).leavingSigns), answers: vm.answers,
@@ -168,12 +168,12 @@
 	it('refuses what does not hang together, and changes nothing', function () {
 		const fleet = fleetOf(1);
 		const vm = fleet.vms[0]!;
-		fleet.tell(vm, {type: 'operator-change', requestId: 1, change: testChange('no-service', [testBackendServer('a', 'orders')])});
-		fleet.tell(vm, {type: 'operator-change', requestId: 2, change: testChange('nothing', [])});
-		fleet.tell(vm, {type: 'operator-change', requestId: 3, change: testChange('twice', [testService('orders'), testService('orders')])});
-		fleet.tell(vm, {type: 'operator-change', requestId: 4, change: testChange('both', [testService('orders'), testBackendServer('a', 'orders')])});
+		fleet.dispatch(vm, {type: 'operator-change', requestId: 1, change: testChange('no-service', [testBackendServer('a', 'orders')])});
+		fleet.dispatch(vm, {type: 'operator-change', requestId: 2, change: testChange('nothing', [])});
+		fleet.dispatch(vm, {type: 'operator-change', requestId: 3, change: testChange('twice', [testService('orders'), testService('orders')])});
+		fleet.dispatch(vm, {type: 'operator-change', requestId: 4, change: testChange('both', [testService('orders'), testBackendServer('a', 'orders')])});
 		fleet.run(500);
-		fleet.tell(vm, {type: 'operator-change', requestId: 5, change: {...testChange('in-use', []), mutations: [{type: 'delete', key: 'service/orders', expectedVersion: 1}]}});
+		fleet.dispatch(vm, {type: 'operator-change', requestId: 5, change: {...testChange('in-use', []), mutations: [{type: 'delete', key: 'service/orders', expectedVersion: 1}]}});
 		fleet.run(500);
 		expect({answers: vm.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
@@ -199,10 +199,10 @@
 		const fleet = fleetOf(2);
 		const vm = fleet.vms[0]!;
 		const large = Array.from({length: 3000}, (_, index) => testBackendServer(`server-${index}`, 'orders'));
-		fleet.tell(vm, {type: 'operator-change', requestId: 1, change: testChange('large', [testService('orders'), ...large])});
+		fleet.dispatch(vm, {type: 'operator-change', requestId: 1, change: testChange('large', [testService('orders'), ...large])});
 		fleet.run(1000);
 		for (let index = 0; index < 600; index += 1) {
-			fleet.tell(vm, {type: 'operator-change', requestId: 1, change: testChange(`small-${index}`, [testService(`service-${index % 7}`)])});
+			fleet.dispatch(vm, {type: 'operator-change', requestId: 1, change: testChange(`small-${index}`, [testService(`service-${index % 7}`)])});
 		}
 
 		fleet.run(10_000);
--- a/src/common/fleet/configuration/head.ts
+++ b/src/common/fleet/configuration/head.ts
@@ -18,14 +18,14 @@
  * Largest shard in characters. The platform's values hold a megabyte; names and addresses are ASCII, and
  * the margin is for the notes that are not.
  */
-export const shardCharacters = 450_000;
+export const maxShardCharacters = 450_000;
 
 /** Largest history in the head, in characters and records; beyond it the writer makes a new snapshot. */
 export const historyCharacters = 400_000;
-export const historyRecords = 512;
+export const maxHistoryRecords = 512;
 
 /** Records kept when a new snapshot is made: a VM that missed fewer catches up without the snapshot. */
-export const keptRecords = 128;
+export const maxKeptRecords = 128;
 export const keptCharacters = 150_000;
 
 const shardReferenceSchema = z.strictObject({key: z.string(), revision: z.int().min(0)});
@@ -86,7 +86,7 @@
 	let size = 0;
 	for (const resource of resources) {
 		const text = JSON.stringify(resource);
-		if (size + text.length > shardCharacters && parts.length > 0) {
+		if (size + text.length > maxShardCharacters && parts.length > 0) {
 			shards.push(`[${parts.join(',')}]`);
 			parts = [];
 			size = 0;
@@ -105,7 +105,7 @@
 
 /** True if the history with the record fits the head. */
 export function fitsHead(records: readonly ChangeRecord[]): boolean {
-	return records.length <= historyRecords && JSON.stringify(records).length <= historyCharacters;
+	return records.length <= maxHistoryRecords && JSON.stringify(records).length <= historyCharacters;
 }
 
 /** The latest records that may stay when a snapshot is made. */
@@ -114,7 +114,7 @@
 	let size = 0;
 	for (const record of records.toReversed()) {
 		size += JSON.stringify(record).length;
-		if (kept.length >= keptRecords || size > keptCharacters) {
+		if (kept.length >= maxKeptRecords || size > keptCharacters) {
 			break;
 		}
 
--- a/src/common/fleet/configuration/large-change.test.ts
+++ b/src/common/fleet/configuration/large-change.test.ts
@@ -15,7 +15,7 @@
 		fleet.run(6000);
 		const services = Array.from({length: manyServices}, (_, index) => testService(`service-${index}`));
 		const writer = fleet.vms[1]!;
-		fleet.tell(writer, {type: 'operator-change', requestId: 1, change: testChange('large', services)});
+		fleet.dispatch(writer, {type: 'operator-change', requestId: 1, change: testChange('large', services)});
 		fleet.run(5000);
 		expect(writer.answers.map(answer => answer.type)).toEqual(['accepted']);
 		expect(fleet.vms.map(vm => [vm.configuration?.version, vm.configuration?.services.size])).toEqual(fleet.vms.map(() => [1, manyServices]));
--- a/src/common/fleet/configuration/plan-change.ts
+++ b/src/common/fleet/configuration/plan-change.ts
@@ -35,7 +35,7 @@
 	return mutation.type === 'put' ? resourceKey(mutation.resource) : mutation.key;
 }
 
-function findRepeated(keys: readonly ResourceKey[]): ResourceKey | undefined {
+function findDuplicate(keys: readonly ResourceKey[]): ResourceKey | undefined {
 	const seen = new Set<ResourceKey>();
 	return keys.find(key => seen.size === seen.add(key).size);
 }
@@ -79,15 +79,15 @@
 	}
 
 	const deletions = record.mutations.filter(mutation => mutation.type === 'delete' && mutation.kind === 'service');
-	const deleted = new Set(deletions.map(mutation => mutationKey(mutation)));
-	if (deleted.size === 0) {
+	const deletedServices = new Set(deletions.map(mutation => mutationKey(mutation)));
+	if (deletedServices.size === 0) {
 		return undefined;
 	}
 
 	for (const {resource} of after.values()) {
-		if (resource.kind !== 'service' && deleted.has(`service/${resource.service}`)) {
-			const what = `The service "${resource.service}" still has the ${resource.kind} "${resource.name}"`;
-			return refused('service-in-use', `${what}; delete that first or in the same change.`, `service/${resource.service}`);
+		if (resource.kind !== 'service' && deletedServices.has(`service/${resource.service}`)) {
+			const blocker = `The service "${resource.service}" still has the ${resource.kind} "${resource.name}"`;
+			return refused('service-in-use', `${blocker}; delete that first or in the same change.`, `service/${resource.service}`);
 		}
 	}
 
@@ -100,9 +100,9 @@
 		return err(refused('empty-change', 'The change names no resource.'));
 	}
 
-	const repeated = findRepeated(change.mutations.map(mutation => keyOf(mutation)));
-	if (repeated) {
-		return err(refused('repeated-resource', `The change names ${repeated} more than once; make it again in a change of its own.`, repeated));
+	const duplicate = findDuplicate(change.mutations.map(mutation => keyOf(mutation)));
+	if (duplicate) {
+		return err(refused('repeated-resource', `The change names ${duplicate} more than once; make it again in a change of its own.`, duplicate));
 	}
 
 	const mutations: RecordedMutation[] = [];
@@ -118,6 +118,6 @@
 	const record: ChangeRecord = {
 		version: view.version + 1, operationId: change.operationId, who: change.who, when: change.when, note: change.note, mutations,
 	};
-	const broken = checkReferences(view, record);
-	return broken ? err(broken) : ok(record);
+	const referenceError = checkReferences(view, record);
+	return referenceError ? err(referenceError) : ok(record);
 }
--- a/src/common/fleet/contact.ts
+++ b/src/common/fleet/contact.ts
@@ -7,9 +7,9 @@
 import {type FleetContext} from './fleet-context.ts';
 
 /** An accepted configuration is to be in force everywhere within 5 s; so long a VM may go without an update. */
-const cutOffMilliseconds: Milliseconds = 5000;
+const maxContactAgeMilliseconds: Milliseconds = 5000;
 
-export class Contact {
+export class ContactMonitor {
 	private _peerContactAt: Instant | undefined;
 	private _behindSince: Instant | undefined;
 	private _isCutOff = false;
@@ -25,7 +25,7 @@
 	}
 
 	/** A message from a peer, and what it says of its own contact with the platform's service. */
-	takePeer(identity: string, storeContactAgeMilliseconds: Milliseconds | undefined): void {
+	recordPeerContact(identity: string, storeContactAgeMilliseconds: Milliseconds | undefined): void {
 		const {now} = this._context;
 		this._peerContactAt = now;
 		if (storeContactAgeMilliseconds !== undefined) {
@@ -34,7 +34,7 @@
 	}
 
 	/** Time in which the clock stood still: nothing heard before counts as recent. */
-	takeLostTime(): void {
+	handleSuspension(): void {
 		this._peerContactAt = undefined;
 		this._context.storeContactAt = undefined;
 	}
@@ -53,10 +53,10 @@
 		const {now, storeContactAt} = this._context;
 		this._behindSince = isBehind ? this._behindSince ?? now : undefined;
 		const latest = Math.max(this._peerContactAt ?? Number.NEGATIVE_INFINITY, storeContactAt ?? Number.NEGATIVE_INFINITY);
-		const isSilent = this._hasOthers() && now - latest > cutOffMilliseconds;
-		const isLate = this._behindSince !== undefined && (this._isCutOff || now - this._behindSince > cutOffMilliseconds);
+		const hasNoContact = this._hasOthers() && now - latest > maxContactAgeMilliseconds;
+		const isOutdated = this._behindSince !== undefined && (this._isCutOff || now - this._behindSince > maxContactAgeMilliseconds);
 		const before = this._isCutOff;
-		this._isCutOff = isSilent || isLate;
+		this._isCutOff = hasNoContact || isOutdated;
 		return this._isCutOff !== before;
 	}
 }
--- a/src/common/fleet/fleet-context.ts
+++ b/src/common/fleet/fleet-context.ts
@@ -55,7 +55,7 @@
 	}
 
 	/** Hands a reply to whoever asked; a second reply to the same request is dropped. */
-	takeReply(requestId: number, reply: StoreReply): void {
+	handleReply(requestId: number, reply: StoreReply): void {
 		const pending = this._pending.get(requestId);
 		this._pending.delete(requestId);
 		if (!pending) {
--- a/src/common/fleet/fleet-coordinator.ts
+++ b/src/common/fleet/fleet-coordinator.ts
@@ -3,12 +3,12 @@
 import {type ResourceKey, type StoredResource} from '../model/resources.ts';
 import {type Instant, type RandomSource} from '../model/units.ts';
 import {type ListedVm} from '../platform/types.ts';
-import {AddressBook} from './addresses/address-book.ts';
+import {AddressSelector} from './addresses/address-book.ts';
 import {ConfigurationExchange} from './configuration/configuration-exchange.ts';
 import {ConfigurationReader} from './configuration/configuration-reader.ts';
 import {ConfigurationState} from './configuration/configuration-state.ts';
 import {ConfigurationWriter} from './configuration/configuration-writer.ts';
-import {Contact} from './contact.ts';
+import {ContactMonitor} from './contact.ts';
 import {FleetContext} from './fleet-context.ts';
 import {FleetReport} from './fleet-report.ts';
 import {LeavingSigns} from './leaving/leaving-signs.ts';
@@ -16,52 +16,52 @@
 import {type MemberView, MemberViews} from './membership/member-views.ts';
 import {Membership} from './membership/membership.ts';
 import {Prober} from './membership/prober.ts';
-import {PeerMailbox} from './peer-mailbox.ts';
+import {PeerSender} from './peer-mailbox.ts';
 import {PeerReceiver} from './peer-receiver.ts';
 import {ShareHandover} from './shares/share-handover.ts';
 import {ShareHolder} from './shares/share-holder.ts';
-import {VmLife} from './stopping/vm-life.ts';
+import {VmLifecycle} from './stopping/vm-life.ts';
 import {
 	type AddressAnswer, type ChangeSummary, type FleetEffect, type FleetEngine, type FleetEvent, type FleetSettings, type FleetStatus, type HashFunction,
 } from './types.ts';
 
 /** A timer this late means that the process did not run: stopped, starved or suspended. */
-const pauseMilliseconds = 1500;
+const pauseThresholdMilliseconds = 1500;
 
 /** Longest time between ticks; also how late a pause is noticed. */
 const tickMilliseconds = 1000;
 
 /** Peers that a sign of leaving is pushed to by each VM at its first receipt; as for changes, 4 reach all but about 2%. */
-const pushTargets = 4;
+const leavingSignPushTargets = 4;
 
 /** Peers told at once that this VM leaves: all of today's fleet; at the target size rumours carry it on. */
-const announceTargets = 16;
+const leaveAnnouncementTargets = 16;
 
 /** Load updates of a moment go out together. */
-const updateMilliseconds = 100;
-const updateTargets = 2;
+const loadUpdateBatchMilliseconds = 100;
+const loadUpdateTargets = 2;
 
 export class FleetCoordinator implements FleetEngine {
 	private readonly _context: FleetContext;
 	private readonly _state = new ConfigurationState();
-	private _sorted: {readonly version: number; readonly resources: readonly StoredResource[]} = {version: 0, resources: []};
-	private readonly _mailbox: PeerMailbox;
+	private _sortedResources: {readonly version: number; readonly resources: readonly StoredResource[]} = {version: 0, resources: []};
+	private readonly _sender: PeerSender;
 	private readonly _membership: Membership;
 	private readonly _prober: Prober;
-	private readonly _contact: Contact;
-	private readonly _reader: ConfigurationReader;
-	private readonly _writer: ConfigurationWriter;
-	private readonly _exchange: ConfigurationExchange;
-	private readonly _holder: ShareHolder;
-	private readonly _handover: ShareHandover;
-	private readonly _signs: LeavingSigns;
-	private readonly _loadUpdate: LoadUpdateExchange;
-	private readonly _life: VmLife;
-	private readonly _addressBook: AddressBook;
+	private readonly _contactMonitor: ContactMonitor;
+	private readonly _configurationReader: ConfigurationReader;
+	private readonly _configurationWriter: ConfigurationWriter;
+	private readonly _configurationExchange: ConfigurationExchange;
+	private readonly _shareHolder: ShareHolder;
+	private readonly _shareHandover: ShareHandover;
+	private readonly _leavingSigns: LeavingSigns;
+	private readonly _loadUpdates: LoadUpdateExchange;
+	private readonly _lifecycle: VmLifecycle;
+	private readonly _addressSelector: AddressSelector;
 	private readonly _report: FleetReport;
-	private readonly _views: MemberViews;
+	private readonly _memberViews: MemberViews;
 	private readonly _receiver: PeerReceiver;
-	private _longestWindow = 0;
+	private _maxWindowMilliseconds = 0;
 	private _shares: FleetShares | undefined;
 	private _serviceLoads: ReadonlyMap<string, number> = new Map();
 	/** The platform's list has shown this very process as live; before that "leaving" may mean a former one. */
@@ -71,49 +71,49 @@
 		const context = new FleetContext(settings, random, hash);
 		this._context = context;
 		const onAdopted = (): void => {
-			this._takeConfiguration();
+			this._applyConfiguration();
 		};
 
 		this._membership = new Membership(context, (to, body) => {
-			this._mailbox.send(to, body);
+			this._sender.send(to, body);
 		});
-		this._signs = new LeavingSigns(context, sign => {
+		this._leavingSigns = new LeavingSigns(context, sign => {
 			context.emit({type: 'backend-server-leaving', sign});
-			this._mailbox.push(pushTargets);
+			this._sender.push(leavingSignPushTargets);
 		});
-		this._loadUpdate = new LoadUpdateExchange(context, update => {
+		this._loadUpdates = new LoadUpdateExchange(context, update => {
 			context.emit({type: 'peer-updates', updates: update});
 		});
-		this._mailbox = new PeerMailbox(context, this._membership, this._signs, this._loadUpdate);
-		const {send} = this._mailbox;
+		this._sender = new PeerSender(context, this._membership, this._leavingSigns, this._loadUpdates);
+		const {send} = this._sender;
 		this._prober = new Prober(context, this._membership, send);
-		this._contact = new Contact(context, () => this._membership.hasOthers || this._prober.listed.size > 0);
-		this._exchange = new ConfigurationExchange(context, this._state, this._membership, send, onAdopted);
-		this._reader = new ConfigurationReader(context, this._state, onAdopted, () => this._exchange.newestKnown === 0, () => this._membership.live.length === 0);
-		this._writer = new ConfigurationWriter(context, this._state, this._reader);
-		this._holder = new ShareHolder(context, () => this._vmCount(), since => this._mayOthersClaim(since), () => this._longestWindow);
-		this._handover = new ShareHandover(context, this._membership, this._holder, send);
-		this._life = new VmLife(context, {
+		this._contactMonitor = new ContactMonitor(context, () => this._membership.hasOthers || this._prober.listedAddresses.size > 0);
+		this._configurationExchange = new ConfigurationExchange(context, this._state, this._membership, send, onAdopted);
+		this._configurationReader = new ConfigurationReader(context, this._state, onAdopted, () => this._configurationExchange.newestKnown === 0, () => this._membership.live.length === 0);
+		this._configurationWriter = new ConfigurationWriter(context, this._state, this._configurationReader);
+		this._shareHolder = new ShareHolder(context, () => this._vmCount(), since => this._mayOthersClaim(since), () => this._maxWindowMilliseconds);
+		this._shareHandover = new ShareHandover(context, this._membership, this._shareHolder, send);
+		this._lifecycle = new VmLifecycle(context, {
 			announce: () => {
 				this._membership.updateOwn({isLeaving: true});
-				this._mailbox.push(announceTargets);
+				this._sender.push(leaveAnnouncementTargets);
 			},
 			handOver: onDone => {
-				this._handover.begin(onDone);
+				this._shareHandover.begin(onDone);
 			},
 		});
-		this._addressBook = new AddressBook(settings, random, hash);
-		this._views = new MemberViews(context, this._membership);
+		this._addressSelector = new AddressSelector(settings, random, hash);
+		this._memberViews = new MemberViews(context, this._membership);
 		this._report = new FleetReport(context, this._state, this._membership);
 		this._receiver = new PeerReceiver({
-			mailbox: this._mailbox,
+			sender: this._sender,
 			membership: this._membership,
 			prober: this._prober,
-			contact: this._contact,
-			exchange: this._exchange,
-			handover: this._handover,
-			signs: this._signs,
-			update: this._loadUpdate,
+			contactMonitor: this._contactMonitor,
+			exchange: this._configurationExchange,
+			handover: this._shareHandover,
+			leavingSigns: this._leavingSigns,
+			loadUpdates: this._loadUpdates,
 			ownIdentity: settings.identity,
 			drain: identity => {
 				this._drain(identity);
@@ -122,14 +122,14 @@
 	}
 
 	handle(event: FleetEvent, now: Instant): readonly FleetEffect[] {
-		this._noticePause(now);
+		this._detectPause(now);
 		this._context.now = now;
 		if (event.type !== 'tick') {
-			this._take(event);
+			this._dispatch(event);
 		}
 
 		this._context.timers.run(now);
-		this._refresh();
+		this._updateDerivedState();
 		return this._context.takeEffects();
 	}
 
@@ -138,22 +138,22 @@
 	}
 
 	addresses(service: string, _now: Instant, dataCentre?: string): AddressAnswer {
-		const candidates = this._contact.isCutOff ? {revision: 0, vms: []} : this._view().candidates;
+		const candidates = this._contactMonitor.isCutOff ? {revision: 0, vms: []} : this._memberView().candidates;
 		const callsInFlight = (this._serviceLoads.get(service) ?? 0) * candidates.vms.length;
-		return this._addressBook.answer(service, candidates, callsInFlight, dataCentre);
+		return this._addressSelector.answer(service, candidates, callsInFlight, dataCentre);
 	}
 
 	status(now: Instant): FleetStatus {
 		return this._report.status(now, {
-			stage: this._life.stage,
-			isCutOff: this._contact.isCutOff,
-			newestKnownVersion: this._exchange.newestKnown,
-			isWatchingStore: this._reader.isWatching,
-			shareSlot: this._holder.slot,
-			shares: this._holder.current(),
-			leavingSigns: this._signs.signs,
-			messagesSent: this._mailbox.messagesSent,
-			messagesReceived: this._mailbox.messagesReceived,
+			stage: this._lifecycle.stage,
+			isCutOff: this._contactMonitor.isCutOff,
+			newestKnownVersion: this._configurationExchange.newestKnown,
+			isWatchingStore: this._configurationReader.isWatching,
+			shareSlot: this._shareHolder.slot,
+			shares: this._shareHolder.current(),
+			leavingSigns: this._leavingSigns.signs,
+			messagesSent: this._sender.messagesSent,
+			messagesReceived: this._sender.messagesReceived,
 		});
 	}
 
@@ -164,19 +164,19 @@
 	resources(): readonly StoredResource[] {
 		// Sorted once a version: at 20,000 resources that takes some 5 ms, in which calls wait.
 		const {version, resources} = this._state;
-		if (this._sorted.version !== version) {
+		if (this._sortedResources.version !== version) {
 			const keys = [...resources.keys()].toSorted((a, b) => (a < b ? -1 : 1));
-			this._sorted = {version, resources: keys.map(key => resources.get(key)!)};
+			this._sortedResources = {version, resources: keys.map(key => resources.get(key)!)};
 		}
 
-		return this._sorted.resources;
+		return this._sortedResources.resources;
 	}
 
 	resource(key: ResourceKey): StoredResource | undefined {
 		return this._state.resources.get(key);
 	}
 
-	private _take(event: Exclude<FleetEvent, {readonly type: 'tick'}>): void {
+	private _dispatch(event: Exclude<FleetEvent, {readonly type: 'tick'}>): void {
 		switch (event.type) {
 			case 'started': {
 				this._start();
@@ -184,27 +184,27 @@
 			}
 
 			case 'store-replied': {
-				this._context.takeReply(event.requestId, event.reply);
+				this._context.handleReply(event.requestId, event.reply);
 				break;
 			}
 
 			case 'peer-message': {
-				this._receiver.take(event.message);
+				this._receiver.handle(event.message);
 				break;
 			}
 
 			case 'peer-unreachable': {
-				this._prober.takeUnreachable(event.to);
+				this._prober.handleUnreachable(event.to);
 				break;
 			}
 
 			case 'vm-list': {
-				this._takeList(event.vms);
+				this._handleVmList(event.vms);
 				break;
 			}
 
 			case 'operator-change': {
-				this._writer.submit(event.change, answer => {
+				this._configurationWriter.submit(event.change, answer => {
 					this._context.emit({type: 'operator-answer', requestId: event.requestId, answer});
 				});
 				break;
@@ -216,18 +216,18 @@
 			}
 
 			case 'leaving-sign': {
-				this._signs.take(event.sign, 0);
+				this._leavingSigns.add(event.sign, 0);
 				break;
 			}
 
 			case 'returned': {
-				this._signs.takeReturn(event.identity, event.instance, 0);
+				this._leavingSigns.handleReturn(event.identity, event.instance, 0);
 				break;
 			}
 
 			case 'load-update': {
-				this._loadUpdate.addOwn(event.update);
-				this._scheduleUpdate();
+				this._loadUpdates.addOwn(event.update);
+				this._scheduleLoadUpdates();
 				break;
 			}
 
@@ -238,19 +238,19 @@
 			}
 
 			case 'traffic': {
-				this._life.takeTraffic(event.traffic);
+				this._lifecycle.handleTraffic(event.traffic);
 				break;
 			}
 
 			case 'stop-requested': {
-				this._life.stop();
+				this._lifecycle.stop();
 				break;
 			}
 
 			case 'woke': {
-				this._holder.takeLostTime();
-				this._contact.takeLostTime();
-				this._prober.forgetPending();
+				this._shareHolder.handleSuspension();
+				this._contactMonitor.handleSuspension();
+				this._prober.resetAfterPause();
 				break;
 			}
 
@@ -260,10 +260,10 @@
 	}
 
 	private _start(): void {
-		this._life.start();
-		this._reader.start();
+		this._lifecycle.start();
+		this._configurationReader.start();
 		this._prober.start();
-		this._holder.start();
+		this._shareHolder.start();
 		this._tick();
 	}
 
@@ -278,81 +278,81 @@
 	 * shows as timers that are late all at once. Rights end by their own instants; probes are judged anew here;
 	 * the contact's age ends the trust in the configuration before anything else is decided.
 	 */
-	private _noticePause(now: Instant): void {
+	private _detectPause(now: Instant): void {
 		const due = this._context.timers.next();
-		if (due !== undefined && now - due > pauseMilliseconds) {
+		if (due !== undefined && now - due > pauseThresholdMilliseconds) {
 			this._context.now = now;
 			this._context.log('warn', 'This process did not run for a while', {milliseconds: Math.round(now - due)});
-			this._prober.forgetPending();
-			this._judgeContact();
+			this._prober.resetAfterPause();
+			this._checkContact();
 		}
 	}
 
 	/** Guard: the list lags; "leaving" under this address may mean the process before this one. */
-	private _takeList(vms: readonly ListedVm[]): void {
+	private _handleVmList(vms: readonly ListedVm[]): void {
 		const {defaultPeerPort, peerAddress} = this._context.settings;
 		const listed = vms.map(vm => ({address: vm.address.includes(':') ? vm.address : `${vm.address}:${defaultPeerPort}`, state: vm.state}));
 		const own = listed.find(({address}) => address === peerAddress);
 		if (own?.state === 'live') {
 			this._wasListedLive = true;
 		} else if (own?.state === 'leaving' && this._wasListedLive) {
-			this._life.stop();
+			this._lifecycle.stop();
 		}
 
-		this._prober.setListed(listed.filter(({address, state}) => address !== peerAddress && state === 'live').map(({address}) => address));
+		this._prober.setListedAddresses(listed.filter(({address, state}) => address !== peerAddress && state === 'live').map(({address}) => address));
 	}
 
 	private _drain(identity: string): void {
 		if (identity === this._context.settings.identity) {
-			this._life.stop();
+			this._lifecycle.stop();
 			return;
 		}
 
 		const member = this._membership.members.get(identity);
 		if (member) {
-			this._mailbox.send(member.record.peerAddress, {type: 'drain', identity});
+			this._sender.send(member.record.peerAddress, {type: 'drain', identity});
 		}
 	}
 
-	private _scheduleUpdate(): void {
+	private _scheduleLoadUpdates(): void {
 		if (!this._context.timers.has('load-updates')) {
-			this._context.timers.set('load-updates', this._context.now + updateMilliseconds, () => {
-				if (this._loadUpdate.hasFresh) {
-					this._mailbox.push(updateTargets);
+			this._context.timers.set('load-updates', this._context.now + loadUpdateBatchMilliseconds, () => {
+				if (this._loadUpdates.hasUnsent) {
+					this._sender.push(loadUpdateTargets);
 				}
 			});
 		}
 	}
 
 	/** A step forward of the configuration: in force here at once and as a whole, and passed on. */
-	private _takeConfiguration(): void {
+	private _applyConfiguration(): void {
 		const configuration = this._state.callConfiguration();
-		this._longestWindow = Math.max(0, ...[...configuration.services.values()].map(({measuring}) => measuring.windowMilliseconds));
-		this._signs.keepOnly(identity => configuration.backendServers.has(identity));
+		this._maxWindowMilliseconds = Math.max(0, ...[...configuration.services.values()].map(({measuring}) => measuring.windowMilliseconds));
+		this._leavingSigns.retainDeclared(identity => configuration.backendServers.has(identity));
 		this._context.emit({type: 'configured', configuration});
-		this._life.takeConfigured();
+		this._lifecycle.handleConfigured();
 		this._membership.updateOwn({configurationVersion: configuration.version});
-		this._exchange.push();
+		this._configurationExchange.push();
 	}
 
 	/** What follows from the state as it is now, whichever part changed it. */
-	private _refresh(): void {
-		this._membership.updateOwn({isServing: this._life.stage === 'serving', holdsShare: this._holder.slot !== undefined});
-		this._reader.setWatching(this._view().isWatcher);
-		this._judgeContact();
-		this._tellShares();
+	private _updateDerivedState(): void {
+		this._membership.updateOwn({isServing: this._lifecycle.stage === 'serving', holdsShare: this._shareHolder.slot !== undefined});
+		this._configurationReader.setWatching(this._memberView().isWatcher);
+		this._checkContact();
+		this._emitShares();
 	}
 
-	private _judgeContact(): void {
-		if (this._contact.update(this._exchange.newestKnown > this._state.version)) {
-			const {isCutOff} = this._contact;
+	private _checkContact(): void {
+		if (this._contactMonitor.update(this._configurationExchange.newestKnown > this._state.version)) {
+			const {isCutOff} = this._contactMonitor;
 			this._context.emit({type: 'cut-off', isCutOff});
 			this._context.log('warn', isCutOff ? 'Cut off: the configuration may be old' : 'In contact again', {version: this._state.version});
 		}
 	}
 
-	private _tellShares(): void {
-		const shares = this._holder.current();
+	private _emitShares(): void {
+		const shares = this._shareHolder.current();
 		const before = this._shares;
 		const isSame = before?.measuringPart === shares.measuringPart && before.measuringFrom === shares.measuringFrom
 			&& before.measuringUntil === shares.measuringUntil && before.connectionPart === shares.connectionPart && before.vmCount === shares.vmCount;
@@ -361,7 +361,7 @@
 			this._context.emit({type: 'shares', shares});
 		}
 
-		const nextChange = this._holder.nextChange();
+		const nextChange = this._shareHolder.nextChange();
 		if (nextChange !== undefined) {
 			this._context.timers.set('share-change', nextChange, () => undefined);
 		}
@@ -369,15 +369,15 @@
 
 	/** Without a configuration every VM asks for itself; later only the few that rendezvous hashing names. */
 	private _vmCount(): number {
-		return this._view().serving.length + 1;
+		return this._memberView().serving.length + 1;
 	}
 
 	private _mayOthersClaim(since: Instant): boolean {
 		const live = this._membership.live.map(({record}) => record.identity);
-		return live.length === 0 ? this._membership.hasOthers : this._contact.hasStoreContactSince(live, since);
+		return live.length === 0 ? this._membership.hasOthers : this._contactMonitor.hasStoreContactSince(live, since);
 	}
 
-	private _view(): MemberView {
-		return this._views.get(this._life.stage === 'serving');
+	private _memberView(): MemberView {
+		return this._memberViews.get(this._lifecycle.stage === 'serving');
 	}
 }
--- a/src/common/fleet/fleet-report.ts
+++ b/src/common/fleet/fleet-report.ts
@@ -85,7 +85,7 @@
 			dataCentre,
 			state: stateOf(member),
 			configurationVersion,
-			ageMilliseconds: now - member.heardAt,
+			ageMilliseconds: now - member.lastMessageAt,
 			behind: isBehind ? (member.verdict === 'live' ? 'catching-up' : member.verdict) : undefined,
 		};
 	}
--- a/src/common/fleet/leaving/late-signs.test.ts
+++ b/src/common/fleet/leaving/late-signs.test.ts
@@ -18,7 +18,7 @@
 		// A backend server begins to leave. Half a minute later a VM is replaced. The rumour has been sent as
 		// often as it ever is, so the new VM never hears of it and gives the leaving server work.
 		const fleet = startedFleet();
-		fleet.tell(fleet.vms[0]!, {type: 'leaving-sign', sign});
+		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign});
 		fleet.run(30_000);
 		const late = fleet.add('four');
 		fleet.run(3000);
@@ -33,7 +33,7 @@
 			fleet.cuts.add(`${from}>${to}`);
 		}
 
-		fleet.tell(fleet.vms[0]!, {type: 'leaving-sign', sign});
+		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign});
 		fleet.run(20_000);
 		expect(fleet.vms[2]!.signs).toEqual([]);
 		fleet.cuts.clear();
--- a/src/common/fleet/membership/member-views.ts
+++ b/src/common/fleet/membership/member-views.ts
@@ -5,7 +5,7 @@
 import {chooseByRank} from './rendezvous.ts';
 
 /** VMs of a data centre that watch the platform's service: one that reads, one should the first be gone. */
-const watchersInDataCentre = 2;
+const watchersPerDataCentre = 2;
 
 /** The members of one moment. */
 export type MemberView = {
@@ -18,8 +18,8 @@
 
 export class MemberViews {
 	private readonly _membership: Membership;
-	private _latest: (MemberView & {readonly revision: number; readonly isServing: boolean}) | undefined;
-	private _made = 0;
+	private _cached: (MemberView & {readonly revision: number; readonly isServing: boolean}) | undefined;
+	private _buildCount = 0;
 
 	constructor(private readonly _context: FleetContext, membership: Membership) {
 		this._membership = membership;
@@ -28,26 +28,26 @@
 	/** @param isServing whether this VM itself may be named to callers */
 	get(isServing: boolean): MemberView {
 		const {revision} = this._membership;
-		if (this._latest?.revision !== revision || this._latest.isServing !== isServing) {
-			this._latest = {...this._make(isServing), revision, isServing};
+		if (this._cached?.revision !== revision || this._cached.isServing !== isServing) {
+			this._cached = {...this._build(isServing), revision, isServing};
 		}
 
-		return this._latest;
+		return this._cached;
 	}
 
 	/** Without a configuration every VM asks for itself; later only the few that rendezvous hashing names watch. */
-	private _make(isServing: boolean): MemberView {
+	private _build(isServing: boolean): MemberView {
 		const {dataCentre, identity} = this._context.settings;
 		const membership = this._membership;
 		const serving = membership.live.filter(({record}) => record.isServing && !record.isLeaving);
 		const peers = membership.live.filter(({record}) => record.dataCentre === dataCentre && record.isServing).map(({record}) => record.identity);
-		const watchers = chooseByRank([...peers, identity], watchersInDataCentre, key => this._context.hash(`watch ${key}`));
+		const watchers = chooseByRank([...peers, identity], watchersPerDataCentre, key => this._context.hash(`watch ${key}`));
 		const own = {
 			get record() {
 				return membership.own;
 			},
 		};
-		this._made += 1;
-		return {serving, isWatcher: watchers.includes(identity), candidates: {revision: this._made, vms: isServing ? [...serving, own] : serving}};
+		this._buildCount += 1;
+		return {serving, isWatcher: watchers.includes(identity), candidates: {revision: this._buildCount, vms: isServing ? [...serving, own] : serving}};
 	}
 }
--- a/src/common/fleet/membership/membership.test.ts
+++ b/src/common/fleet/membership/membership.test.ts
@@ -13,12 +13,12 @@
 	return fleet;
 }
 
-function seenBy(vm: FakeVm, fleet: FakeFleet): string {
+function memberStates(vm: FakeVm, fleet: FakeFleet): string {
 	return vm.engine.status(fleet.now).members.map(({identity, state}) => `${identity} ${state}`).toSorted((a, b) => a.localeCompare(b)).join(', ');
 }
 
 function views(fleet: FakeFleet): Record<string, string> {
-	return Object.fromEntries(fleet.vms.filter(({isGone}) => !isGone).map(vm => [vm.name, seenBy(vm, fleet)]));
+	return Object.fromEntries(fleet.vms.filter(({isGone}) => !isGone).map(vm => [vm.name, memberStates(vm, fleet)]));
 }
 
 function cut(fleet: FakeFleet, from: FakeVm, to: FakeVm): void {
@@ -35,14 +35,14 @@
 	it('a dead VM is suspected, then dead, and out of the answers from the suspicion on', function () {
 		const fleet = fleetOf(5);
 		fleet.kill(fleet.vms[2]!);
-		const named: string[] = [];
+		const answerCounts: string[] = [];
 		for (let second = 1; second <= 10; second += 1) {
 			fleet.run(1000);
 			const answers = fleet.vms.filter(({isGone}) => !isGone).filter(vm => vm.engine.addresses('orders', fleet.now).addresses.some(({address}) => address === 'vm-2:2'));
-			named.push(`${second} s: named by ${answers.length}`);
+			answerCounts.push(`${second} s: named by ${answers.length}`);
 		}
 
-		expect({named, views: views(fleet)}).toMatchSnapshot(this);
+		expect({named: answerCounts, views: views(fleet)}).toMatchSnapshot(this);
 	});
 
 	// Packets from one VM to another are lost in one direction only; both reach everybody else. Taken for a death,
@@ -63,9 +63,9 @@
 		const fleet = fleetOf(5);
 		fleet.pause(fleet.vms[3]!, 12_000);
 		fleet.run(11_000);
-		const during = seenBy(fleet.vms[0]!, fleet);
+		const during = memberStates(fleet.vms[0]!, fleet);
 		fleet.run(1100);
-		const atWaking = seenBy(fleet.vms[3]!, fleet);
+		const atWaking = memberStates(fleet.vms[3]!, fleet);
 		fleet.run(3000);
 		expect({during, atWaking, after: views(fleet)}).toMatchSnapshot(this);
 	});
@@ -84,25 +84,25 @@
 	// so, name itself to nobody, and be back in force with the newest version before it counts again.
 	it('a VM cut off from everybody says so, and lifts it only with the newest configuration', function () {
 		const fleet = fleetOf(4);
-		const lonely = fleet.vms[3]!;
+		const isolated = fleet.vms[3]!;
 		for (const vm of fleet.vms) {
-			cut(fleet, vm, lonely);
-			cut(fleet, lonely, vm);
+			cut(fleet, vm, isolated);
+			cut(fleet, isolated, vm);
 		}
 
-		fleet.modeOf = vm => (vm === lonely ? 'down' : undefined);
+		fleet.modeOf = vm => (vm === isolated ? 'down' : undefined);
 		fleet.run(4000);
-		const early = lonely.isCutOff;
+		const early = isolated.isCutOff;
 		fleet.run(4000);
-		const late = lonely.isCutOff;
-		const answer = lonely.engine.addresses('orders', fleet.now).addresses.length;
-		fleet.tell(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('meanwhile', [testService('orders')])});
+		const late = isolated.isCutOff;
+		const answer = isolated.engine.addresses('orders', fleet.now).addresses.length;
+		fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('meanwhile', [testService('orders')])});
 		fleet.run(500);
 		fleet.cuts.clear();
 		const lifted: number[] = [];
 		fleet.onStep = () => {
-			if (!lonely.isCutOff) {
-				lifted.push(lonely.configuration!.version);
+			if (!isolated.isCutOff) {
+				lifted.push(isolated.configuration!.version);
 			}
 		};
 
--- a/src/common/fleet/membership/membership.ts
+++ b/src/common/fleet/membership/membership.ts
@@ -9,10 +9,10 @@
 import {type PeerAddress, type VmIdentity} from '../types.ts';
 
 /** From suspicion to death; time for a live VM to hear of it and refute. */
-const suspicionMilliseconds: Milliseconds = 3000;
+const suspicionTimeoutMilliseconds: Milliseconds = 3000;
 
 /** Dead members are kept so long, to tell a late rumour from a new member; then forgotten. */
-const deadMemoryMilliseconds: Milliseconds = 600_000;
+const deadMemberRetentionMilliseconds: Milliseconds = 600_000;
 
 /** Others told at once when this VM refutes a verdict on itself. */
 const refutationTargets = 3;
@@ -24,17 +24,17 @@
 	record: MemberRecord;
 	verdict: Verdict;
 	/** When this VM last had a message from it. */
-	heardAt: Instant;
+	lastMessageAt: Instant;
 	/** When the verdict was last changed. */
-	judgedAt: Instant;
+	verdictChangedAt: Instant;
 	/** Sends of the latest rumour about it; it is passed on until this reaches the limit. */
-	timesSent: number;
+	sendCount: number;
 };
 
-const verdictRank: Readonly<Record<Verdict, number>> = {live: 0, suspected: 1, dead: 2};
+const verdictSeverity: Readonly<Record<Verdict, number>> = {live: 0, suspected: 1, dead: 2};
 
 /** Largest number of members in one answer to a join; the rest follows by rumours. */
-export const mostMembersInAnswer = 256;
+export const maxMembersInJoinAnswer = 256;
 
 export class Membership {
 	private readonly _members = new Map<VmIdentity, Member>();
@@ -98,12 +98,12 @@
 	}
 
 	/** Any message is a sign of life of its sender. */
-	takeSender(record: MemberRecord): void {
+	handleSender(record: MemberRecord): void {
 		if (record.identity === this._own.identity) {
 			return;
 		}
 
-		this._retireFormerProcess(record);
+		this._markPreviousProcessDead(record);
 		const known = this._members.get(record.identity);
 		if (!known) {
 			this._add(record, 'live');
@@ -114,24 +114,24 @@
 			return;
 		}
 
-		const isJudged = known.verdict !== 'live' && record.sequence === known.record.sequence;
+		const hasAdverseVerdict = known.verdict !== 'live' && record.sequence === known.record.sequence;
 		const isNew = record.sequence > known.record.sequence || known.verdict !== 'live';
 		known.record = record;
-		known.heardAt = this._context.now;
-		if (isJudged) {
+		known.lastMessageAt = this._context.now;
+		if (hasAdverseVerdict) {
 			// It lives, but others were told otherwise. Told so, it raises its sequence, which refutes it everywhere.
 			this._send(record.peerAddress, {type: 'rumours'});
 		}
 
 		if (isNew) {
-			this._judge(known, 'live');
+			this._setVerdict(known, 'live');
 		}
 	}
 
 	/** Rumours that came with a message. */
-	takeUpdates(updates: readonly MemberUpdate[]): void {
+	mergeUpdates(updates: readonly MemberUpdate[]): void {
 		for (const update of updates) {
-			this._takeUpdate(update);
+			this._mergeUpdate(update);
 		}
 	}
 
@@ -139,33 +139,33 @@
 	suspect(identity: VmIdentity): void {
 		const member = this._members.get(identity);
 		if (member?.verdict === 'live') {
-			this._judge(member, 'suspected');
+			this._setVerdict(member, 'suspected');
 		}
 	}
 
 	/** Starts the time to refute anew for all that are suspected. */
-	prolongSuspicions(): void {
+	restartSuspicionTimeouts(): void {
 		for (const member of this._members.values()) {
 			if (member.verdict === 'suspected') {
-				member.judgedAt = this._context.now;
+				member.verdictChangedAt = this._context.now;
 			}
 		}
 	}
 
 	/** Rumours worth sending, the least sent first, at most `characters` long in JSON. */
-	takeRumours(characters: number): MemberUpdate[] {
-		const limit = this._sendLimit();
-		const waiting = [...this._members.values()].filter(({timesSent}) => timesSent < limit).toSorted((a, b) => a.timesSent - b.timesSent);
+	nextRumours(characters: number): MemberUpdate[] {
+		const limit = this._maxSends();
+		const pending = [...this._members.values()].filter(({sendCount}) => sendCount < limit).toSorted((a, b) => a.sendCount - b.sendCount);
 		const updates: MemberUpdate[] = [];
-		let room = characters;
-		for (const member of waiting) {
+		let remainingCharacters = characters;
+		for (const member of pending) {
 			const update = {record: member.record, verdict: member.verdict};
-			room -= JSON.stringify(update).length;
-			if (room < 0) {
+			remainingCharacters -= JSON.stringify(update).length;
+			if (remainingCharacters < 0) {
 				break;
 			}
 
-			member.timesSent += 1;
+			member.sendCount += 1;
 			updates.push(update);
 		}
 
@@ -174,22 +174,22 @@
 
 	/** Everybody known, for a VM that joins. */
 	allUpdates(): MemberUpdate[] {
-		return [...this._members.values()].filter(({verdict}) => verdict !== 'dead').slice(0, mostMembersInAnswer).map(({record, verdict}) => ({record, verdict}));
+		return [...this._members.values()].filter(({verdict}) => verdict !== 'dead').slice(0, maxMembersInJoinAnswer).map(({record, verdict}) => ({record, verdict}));
 	}
 
 	/** The verdict against the member at an address, which it should hear itself. */
-	verdictAgainst(address: PeerAddress): MemberUpdate[] {
+	verdictsAgainst(address: PeerAddress): MemberUpdate[] {
 		return [...this._members.values()]
 			.filter(({record, verdict}) => record.peerAddress === address && verdict !== 'live')
 			.map(({record, verdict}) => ({record, verdict}));
 	}
 
 	/** A rumour reaches all of n members with high probability after a multiple of log2(n) sends by each. */
-	private _sendLimit(): number {
+	private _maxSends(): number {
 		return 2 * Math.ceil(Math.log2(this._members.size + 2));
 	}
 
-	private _takeUpdate({record, verdict}: MemberUpdate): void {
+	private _mergeUpdate({record, verdict}: MemberUpdate): void {
 		if (record.identity === this._own.identity) {
 			this._refute(record, verdict);
 			return;
@@ -205,13 +205,13 @@
 		}
 
 		const isNewer = record.sequence > known.record.sequence;
-		const isWorse = record.sequence === known.record.sequence && verdictRank[verdict] > verdictRank[known.verdict];
+		const isMoreSevere = record.sequence === known.record.sequence && verdictSeverity[verdict] > verdictSeverity[known.verdict];
 		if (isNewer) {
 			known.record = record;
 		}
 
-		if (isNewer || isWorse) {
-			this._judge(known, verdict);
+		if (isNewer || isMoreSevere) {
+			this._setVerdict(known, verdict);
 		}
 	}
 
@@ -227,10 +227,10 @@
 	}
 
 	/** A new process under a member's address: the former one has ended. */
-	private _retireFormerProcess(record: MemberRecord): void {
+	private _markPreviousProcessDead(record: MemberRecord): void {
 		for (const member of this._members.values()) {
 			if (member.record.peerAddress === record.peerAddress && member.record.identity !== record.identity && member.verdict !== 'dead') {
-				this._judge(member, 'dead');
+				this._setVerdict(member, 'dead');
 			}
 		}
 	}
@@ -238,26 +238,26 @@
 	private _add(record: MemberRecord, verdict: Verdict): void {
 		const {now} = this._context;
 		const member: Member = {
-			record, verdict, heardAt: now, judgedAt: now, timesSent: 0,
+			record, verdict, lastMessageAt: now, verdictChangedAt: now, sendCount: 0,
 		};
 		this._members.set(record.identity, member);
 		this._revision += 1;
-		this._watchSuspicion(member);
+		this._scheduleVerdictExpiry(member);
 	}
 
-	private _judge(member: Member, verdict: Verdict): void {
+	private _setVerdict(member: Member, verdict: Verdict): void {
 		if (member.verdict !== verdict) {
 			this._context.log(verdict === 'live' ? 'info' : 'warn', 'A member changed state', {member: member.record.identity, address: member.record.peerAddress, verdict});
 		}
 
 		this._revision += 1;
 		member.verdict = verdict;
-		member.judgedAt = this._context.now;
-		member.timesSent = 0;
-		this._watchSuspicion(member);
+		member.verdictChangedAt = this._context.now;
+		member.sendCount = 0;
+		this._scheduleVerdictExpiry(member);
 	}
 
-	private _watchSuspicion(member: Member): void {
+	private _scheduleVerdictExpiry(member: Member): void {
 		const {identity} = member.record;
 		const name = `member-${identity}`;
 		this._context.timers.clear(name);
@@ -265,15 +265,15 @@
 			return;
 		}
 
-		const wait = member.verdict === 'suspected' ? suspicionMilliseconds : deadMemoryMilliseconds;
-		this._context.timers.set(name, member.judgedAt + wait, () => {
+		const wait = member.verdict === 'suspected' ? suspicionTimeoutMilliseconds : deadMemberRetentionMilliseconds;
+		this._context.timers.set(name, member.verdictChangedAt + wait, () => {
 			if (member.verdict === 'dead') {
 				this._members.delete(identity);
 				this._revision += 1;
-			} else if (this._context.now < member.judgedAt + suspicionMilliseconds) {
-				this._watchSuspicion(member);
+			} else if (this._context.now < member.verdictChangedAt + suspicionTimeoutMilliseconds) {
+				this._scheduleVerdictExpiry(member);
 			} else {
-				this._judge(member, 'dead');
+				this._setVerdict(member, 'dead');
 			}
 		});
 	}
--- a/src/common/fleet/membership/prober.ts
+++ b/src/common/fleet/membership/prober.ts
@@ -9,27 +9,27 @@
 import {type Member, type Membership} from './membership.ts';
 
 /** One probe each half second: 2 messages a second out and about 2 back, whatever the size of the fleet. */
-const probeMilliseconds: Milliseconds = 500;
+const probeIntervalMilliseconds: Milliseconds = 500;
 
 /** Round trips take 1 to 3 ms; past this the probed VM is asked for through others. */
-const directAnswerMilliseconds: Milliseconds = 250;
+const directProbeTimeoutMilliseconds: Milliseconds = 250;
 
 /** Others asked to probe in our stead: a cut between two VMs only must not look like a death. */
-const indirectProbes = 2;
+const indirectProbeCount = 2;
 
 /** A relayed probe that nobody answered is forgotten after this. */
-const relayMemoryMilliseconds: Milliseconds = 3000;
+const relayedProbeRetentionMilliseconds: Milliseconds = 3000;
 
 /** Addresses that answer nobody's probes are tried for members this often: cuts heal, seeds come up. */
-const joinMilliseconds: Milliseconds = 2000;
+const joinIntervalMilliseconds: Milliseconds = 2000;
 const joinTargets = 3;
 
 type Probe = {readonly nonce: number; readonly identity: VmIdentity; readonly address: PeerAddress; isIndirect: boolean};
 
 export class Prober {
 	private readonly _send: (to: PeerAddress, body: PeerBody) => void;
-	private readonly _listed = new Set<PeerAddress>();
-	private readonly _relayed = new Map<number, {readonly for: PeerAddress; readonly nonce: number; readonly at: Instant}>();
+	private readonly _listedAddresses = new Set<PeerAddress>();
+	private readonly _relayedProbes = new Map<number, {readonly for: PeerAddress; readonly nonce: number; readonly at: Instant}>();
 	private _probeOrder: VmIdentity[] = [];
 	private _nonce = 0;
 	private _probe: Probe | undefined;
@@ -48,48 +48,48 @@
 	}
 
 	/** Addresses from the platform's list: a hint of whom to ask, no word on who lives. */
-	setListed(addresses: readonly PeerAddress[]): void {
-		this._listed.clear();
+	setListedAddresses(addresses: readonly PeerAddress[]): void {
+		this._listedAddresses.clear();
 		for (const address of addresses) {
-			this._listed.add(address);
+			this._listedAddresses.add(address);
 		}
 	}
 
-	get listed(): ReadonlySet<PeerAddress> {
-		return this._listed;
+	get listedAddresses(): ReadonlySet<PeerAddress> {
+		return this._listedAddresses;
 	}
 
-	takePing(from: MemberRecord, nonce: number): void {
+	handlePing(from: MemberRecord, nonce: number): void {
 		this._send(from.peerAddress, {type: 'ping-answer', nonce});
 	}
 
-	takePingRequest(from: MemberRecord, nonce: number, target: PeerAddress): void {
+	handlePingRequest(from: MemberRecord, nonce: number, target: PeerAddress): void {
 		this._nonce += 1;
-		this._relayed.set(this._nonce, {for: from.peerAddress, nonce, at: this._context.now});
+		this._relayedProbes.set(this._nonce, {for: from.peerAddress, nonce, at: this._context.now});
 		this._send(target, {type: 'ping', nonce: this._nonce});
 	}
 
-	takeAnswer(nonce: number): void {
+	handleAnswer(nonce: number): void {
 		if (this._probe?.nonce === nonce) {
 			this._probe = undefined;
 			return;
 		}
 
-		const relayed = this._relayed.get(nonce);
-		this._relayed.delete(nonce);
+		const relayed = this._relayedProbes.get(nonce);
+		this._relayedProbes.delete(nonce);
 		if (relayed) {
 			this._send(relayed.for, {type: 'ping-answer', nonce: relayed.nonce});
 		}
 
-		for (const [key, {at}] of this._relayed) {
-			if (this._context.now - at > relayMemoryMilliseconds) {
-				this._relayed.delete(key);
+		for (const [key, {at}] of this._relayedProbes) {
+			if (this._context.now - at > relayedProbeRetentionMilliseconds) {
+				this._relayedProbes.delete(key);
 			}
 		}
 	}
 
 	/** A message could not be delivered: ask others at once in place of waiting. */
-	takeUnreachable(to: PeerAddress): void {
+	handleUnreachable(to: PeerAddress): void {
 		if (this._probe?.address === to) {
 			this._probeIndirectly(this._probe.nonce);
 		}
@@ -99,13 +99,13 @@
 	 * Guard: after a pause of this VM every probe looks unanswered and every suspicion overdue. Without this it
 	 * would call the whole fleet dead on waking. What was pending is forgotten and judged anew.
 	 */
-	forgetPending(): void {
+	resetAfterPause(): void {
 		this._probe = undefined;
-		this._membership.prolongSuspicions();
+		this._membership.restartSuspicionTimeouts();
 	}
 
 	private _scheduleProbe(): void {
-		this._context.timers.set('probe', this._context.now + this._context.jitter(probeMilliseconds), () => {
+		this._context.timers.set('probe', this._context.now + this._context.jitter(probeIntervalMilliseconds), () => {
 			this._endProbe();
 			this._startProbe();
 			this._scheduleProbe();
@@ -133,14 +133,14 @@
 			nonce, identity, address: peerAddress, isIndirect: false,
 		};
 		this._send(peerAddress, {type: 'ping', nonce});
-		this._context.timers.set('probe-indirect', this._context.now + directAnswerMilliseconds, () => {
+		this._context.timers.set('probe-indirect', this._context.now + directProbeTimeoutMilliseconds, () => {
 			this._probeIndirectly(nonce);
 		});
 	}
 
 	/** Round robin in a random order, so that every member is probed once before any is probed twice. */
 	private _nextTarget(): Member | undefined {
-		for (let tries = this._probeOrder.length + 1; tries > 0; tries -= 1) {
+		for (let attemptsLeft = this._probeOrder.length + 1; attemptsLeft > 0; attemptsLeft -= 1) {
 			const identity = this._probeOrder.shift();
 			const member = identity === undefined ? undefined : this._membership.members.get(identity);
 			if (member && member.verdict !== 'dead') {
@@ -163,8 +163,8 @@
 		}
 
 		probe.isIndirect = true;
-		const helpers = this._membership.live.filter(({record}) => record.identity !== probe.identity);
-		for (const {record} of this._context.pick(helpers, indirectProbes)) {
+		const relays = this._membership.live.filter(({record}) => record.identity !== probe.identity);
+		for (const {record} of this._context.pick(relays, indirectProbeCount)) {
 			this._send(record.peerAddress, {type: 'ping-request', nonce, target: probe.address});
 		}
 	}
@@ -172,13 +172,13 @@
 	private _join(): void {
 		const known = new Set(this._membership.live.map(({record}) => record.peerAddress));
 		const dead = [...this._membership.members.values()].filter(({record, verdict}) => verdict === 'dead' && !record.isLeaving).map(({record}) => record.peerAddress);
-		const candidates = [...new Set([...this._context.settings.seeds, ...this._listed, ...dead])]
+		const candidates = [...new Set([...this._context.settings.seeds, ...this._listedAddresses, ...dead])]
 			.filter(address => address !== this._context.settings.peerAddress && !known.has(address));
 		for (const address of this._context.pick(candidates, joinTargets)) {
 			this._send(address, {type: 'join'});
 		}
 
-		this._context.timers.set('join', this._context.now + this._context.jitter(joinMilliseconds), () => {
+		this._context.timers.set('join', this._context.now + this._context.jitter(joinIntervalMilliseconds), () => {
 			this._join();
 		});
 	}
--- a/src/common/fleet/peer-mailbox.ts
+++ b/src/common/fleet/peer-mailbox.ts
@@ -10,35 +10,35 @@
  * Limits on what rides along, in characters of JSON (more than the bytes on the wire). About 4 messages a second
  * go out, so rumours cost at most 10 KB a second in a storm; the rest waits for the next message.
  */
-const memberCharacters = 1200;
-const updateCharacters = 1000;
-const mostLeaving = 8;
-const mostLeavingInAnswer = 512;
+const maxMemberCharacters = 1200;
+const maxLoadUpdateCharacters = 1000;
+const maxLeavingSigns = 8;
+const maxLeavingSignsInAnswer = 512;
 
 /** VMs that differ tell each other all signs at most this often: while a sign spreads, all differ for a moment. */
-const leavingAnswerMilliseconds = 1000;
+const leavingSyncIntervalMilliseconds = 1000;
 
-const carriers: ReadonlySet<PeerBody['type']> = new Set(['ping', 'ping-answer', 'rumours', 'members']);
+const rumourCarriers: ReadonlySet<PeerBody['type']> = new Set(['ping', 'ping-answer', 'rumours', 'members']);
 
-export class PeerMailbox {
+export class PeerSender {
 	messagesSent = 0;
 	messagesReceived = 0;
-	private _isTellingAll = false;
-	private readonly _loadUpdate: LoadUpdateExchange;
+	private _isSendingAllSigns = false;
+	private readonly _loadUpdates: LoadUpdateExchange;
 
 	constructor(
 		private readonly _context: FleetContext,
 		private readonly _membership: Membership,
-		private readonly _signs: LeavingSigns,
-		update: LoadUpdateExchange,
+		private readonly _leavingSigns: LeavingSigns,
+		loadUpdates: LoadUpdateExchange,
 	) {
-		this._loadUpdate = update;
+		this._loadUpdates = loadUpdates;
 	}
 
 	/** Sends one message. */
 	readonly send = (to: PeerAddress, body: PeerBody): void => {
 		const {now, storeContactAt} = this._context;
-		const isCarrier = carriers.has(body.type);
+		const isCarrier = rumourCarriers.has(body.type);
 		const message: PeerMessage = {
 			protocol: 1,
 			sender: this._membership.own,
@@ -46,8 +46,8 @@
 			body,
 			members: isCarrier ? this._members(to, body) : [],
 			leaving: isCarrier ? this._leaving(body) : [],
-			...(isCarrier && {leavingDigest: this._signs.digest()}),
-			updates: isCarrier ? this._loadUpdate.takeUpdate(updateCharacters) : [],
+			...(isCarrier && {leavingDigest: this._leavingSigns.digest()}),
+			updates: isCarrier ? this._loadUpdates.nextUpdates(maxLoadUpdateCharacters) : [],
 		};
 		this.messagesSent += 1;
 		this._context.emit({type: 'send', to, message});
@@ -57,16 +57,16 @@
 	 * Guard: rumours go out a few times only, so a VM that was paused or cut off meanwhile would never hear of a
 	 * server that left; it would give it work. Whoever hears another digest than its own tells all it knows.
 	 */
-	compareLeaving(from: PeerAddress, digest: number | undefined): void {
+	syncLeavingSigns(from: PeerAddress, digest: number | undefined): void {
 		const timer = `leaving-${from}`;
-		if (digest === undefined || digest === this._signs.digest() || this._context.timers.has(timer)) {
+		if (digest === undefined || digest === this._leavingSigns.digest() || this._context.timers.has(timer)) {
 			return;
 		}
 
-		this._context.timers.set(timer, this._context.now + leavingAnswerMilliseconds, () => undefined);
-		this._isTellingAll = true;
+		this._context.timers.set(timer, this._context.now + leavingSyncIntervalMilliseconds, () => undefined);
+		this._isSendingAllSigns = true;
 		this.send(from, {type: 'rumours'});
-		this._isTellingAll = false;
+		this._isSendingAllSigns = false;
 	}
 
 	/** Sends what can't wait for the next probe to some live members. */
@@ -81,10 +81,10 @@
 	 * before; it would give it work. It gets all signs with the members.
 	 */
 	private _leaving(body: PeerBody): PeerMessage['leaving'] {
-		return body.type === 'members' || this._isTellingAll ? this._signs.all(mostLeavingInAnswer) : this._signs.takeRumours(mostLeaving);
+		return body.type === 'members' || this._isSendingAllSigns ? this._leavingSigns.latest(maxLeavingSignsInAnswer) : this._leavingSigns.nextRumours(maxLeavingSigns);
 	}
 
 	private _members(to: PeerAddress, body: PeerBody): PeerMessage['members'] {
-		return body.type === 'members' ? this._membership.allUpdates() : [...this._membership.verdictAgainst(to), ...this._membership.takeRumours(memberCharacters)];
+		return body.type === 'members' ? this._membership.allUpdates() : [...this._membership.verdictsAgainst(to), ...this._membership.nextRumours(maxMemberCharacters)];
 	}
 }
--- a/src/common/fleet/shares/share-handover.ts
+++ b/src/common/fleet/shares/share-handover.ts
@@ -7,17 +7,17 @@
 import {type ShareHolder} from './share-holder.ts';
 
 /** An offer not accepted in this time goes to another VM. */
-const offerMilliseconds: Milliseconds = 300;
+const offerTimeoutMilliseconds: Milliseconds = 300;
 
 /** VMs tried before the slot is released in place of handed over. */
-const mostOffers = 4;
+const maxOffers = 4;
 
 type Acceptance = {readonly nonce: number; readonly slot: number; readonly from: PeerAddress; readonly at: Instant};
 
 export class ShareHandover {
 	private readonly _send: (to: PeerAddress, body: PeerBody) => void;
 	private _offeredTo: PeerAddress | undefined;
-	private _offers = 0;
+	private _offerCount = 0;
 	private _nonce = 0;
 	private _acceptance: Acceptance | undefined;
 	private _onDone: (() => void) | undefined;
@@ -37,8 +37,8 @@
 		this._offerNext();
 	}
 
-	takeOffer(from: MemberRecord, slot: number): void {
-		if (!this._holder.isWanting) {
+	handleOffer(from: MemberRecord, slot: number): void {
+		if (!this._holder.needsSlot) {
 			return;
 		}
 
@@ -53,12 +53,12 @@
 	 * Guard: the slot is given once. A late or repeated acceptance, from this or another VM, finds it gone; the
 	 * grant is sent after this VM's right has ended, so the two never overlap.
 	 */
-	takeAcceptance(from: MemberRecord, slot: number, nonce: number): void {
+	handleAcceptance(from: MemberRecord, slot: number, nonce: number): void {
 		if (this._offeredTo !== from.peerAddress || this._holder.slot !== slot) {
 			return;
 		}
 
-		const grant = this._holder.give();
+		const grant = this._holder.giveUpForHandover();
 		if (grant) {
 			this._send(from.peerAddress, {
 				type: 'share-grant', ...grant, nonce, revision: 0,
@@ -69,30 +69,30 @@
 	}
 
 	/** Only the grant that answers the latest acceptance counts: an older one's time would be counted wrongly. */
-	takeGrant(from: MemberRecord, grant: PeerBody & {readonly type: 'share-grant'}): void {
+	handleGrant(from: MemberRecord, grant: PeerBody & {readonly type: 'share-grant'}): void {
 		const acceptance = this._acceptance;
 		if (acceptance?.nonce !== grant.nonce || acceptance.from !== from.peerAddress || acceptance.slot !== grant.slot) {
 			return;
 		}
 
 		this._acceptance = undefined;
-		this._holder.take({slot: grant.slot, leaseId: grant.leaseId, remainingMilliseconds: grant.remainingMilliseconds}, acceptance.at);
+		this._holder.acceptHandover({slot: grant.slot, leaseId: grant.leaseId, remainingMilliseconds: grant.remainingMilliseconds}, acceptance.at);
 	}
 
 	private _offerNext(): void {
 		const {slot} = this._holder;
 		const candidates = this._membership.live.filter(({record}) => !record.isLeaving && !record.holdsShare && record.peerAddress !== this._offeredTo);
 		const [successor] = this._context.pick(candidates, 1);
-		if (slot === undefined || !successor || this._offers >= mostOffers) {
+		if (slot === undefined || !successor || this._offerCount >= maxOffers) {
 			this._holder.release();
 			this._finish();
 			return;
 		}
 
-		this._offers += 1;
+		this._offerCount += 1;
 		this._offeredTo = successor.record.peerAddress;
 		this._send(this._offeredTo, {type: 'share-offer', slot});
-		this._context.timers.set('share-offer', this._context.now + offerMilliseconds, () => {
+		this._context.timers.set('share-offer', this._context.now + offerTimeoutMilliseconds, () => {
 			this._offerNext();
 		});
 	}
--- a/src/common/fleet/shares/shares.test.ts
+++ b/src/common/fleet/shares/shares.test.ts
@@ -32,19 +32,19 @@
 
 /** The promise: in any window one slot is spent by one VM only, so the slots' parts add up to the budget at most. */
 function overlaps(spends: readonly Spend[]): Spend[][] {
-	const found: Spend[][] = [];
+	const overlapping: Spend[][] = [];
 	for (let slot = 0; slot < slots; slot += 1) {
 		const ordered = spends.filter(spend => spend.slot === slot);
 		for (const [index, spend] of ordered.entries()) {
 			const other = ordered.slice(index + 1).find(({vm, at}) => vm !== spend.vm && at - spend.at < windowMilliseconds);
 			if (other) {
-				found.push([spend, other]);
+				overlapping.push([spend, other]);
 				break;
 			}
 		}
 	}
 
-	return found;
+	return overlapping;
 }
 
 /** Most connections that the VMs together believe to be theirs, as a part of the limit. */
@@ -59,7 +59,7 @@
 	}
 
 	fleet.run(3000);
-	fleet.tell(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders')])});
+	fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders')])});
 	fleet.run(1000);
 	return fleet;
 }
@@ -94,7 +94,7 @@
 		}
 
 		case 'stop': {
-			fleet.tell(vm, {type: 'stop-requested', by: 'signal'});
+			fleet.dispatch(vm, {type: 'stop-requested', by: 'signal'});
 			break;
 		}
 
@@ -126,7 +126,7 @@
 			// A VM's whole clock stands still; the adapter tells on waking. Here the clock runs on, which is stricter.
 			fleet.pause(vm, fault.milliseconds);
 			fleet.after(fault.milliseconds + 1, () => {
-				fleet.tell(vm, {type: 'woke', milliseconds: fault.milliseconds});
+				fleet.dispatch(vm, {type: 'woke', milliseconds: fault.milliseconds});
 			});
 			break;
 		}
@@ -178,14 +178,14 @@
 		const without = fleet.vms.find(vm => vm.engine.status(fleet.now).shareSlot === undefined)!;
 		const stopping = fleet.vms.find(vm => vm !== without)!;
 		const slot = stopping.engine.status(fleet.now).shareSlot;
-		fleet.tell(stopping, {type: 'stop-requested', by: 'signal'});
+		fleet.dispatch(stopping, {type: 'stop-requested', by: 'signal'});
 		fleet.run(7000);
 		const handedOver = without.engine.status(fleet.now).shareSlot === slot;
-		const early = spends.some(({vm}) => vm === without.name);
+		const isSpentEarly = spends.some(({vm}) => vm === without.name);
 		fleet.mode = 'up';
 		fleet.run(30_000);
 		expect({
-			handedOver, early, late: spends.some(({vm}) => vm === without.name), overlaps: overlaps(spends),
+			handedOver, early: isSpentEarly, late: spends.some(({vm}) => vm === without.name), overlaps: overlaps(spends),
 		}).toMatchSnapshot(this);
 	});
 
@@ -200,8 +200,8 @@
 		const sum = connectionSum(fleet);
 		fleet.mode = 'up';
 		fleet.run(30_000);
-		const lonely: FakeVm = fleet.vms[2]!;
-		fleet.modeOf = vm => (vm === lonely ? 'down' : undefined);
+		const isolated: FakeVm = fleet.vms[2]!;
+		fleet.modeOf = vm => (vm === isolated ? 'down' : undefined);
 		fleet.run(30_000);
 		expect({inOutage, isWithinLimit: sum <= 1, alone: holders(fleet)}).toMatchSnapshot(this);
 	});
--- a/src/common/fleet/stopping/stopping.test.ts
+++ b/src/common/fleet/stopping/stopping.test.ts
@@ -15,10 +15,10 @@
 
 function traffic(fleet: FakeFleet, vm: FakeVm, callsInFlight: number): void {
 	vm.callsInFlight = callsInFlight;
-	fleet.tell(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
+	fleet.dispatch(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
 }
 
-function namers(fleet: FakeFleet, vm: FakeVm): number {
+function countVmsNaming(fleet: FakeFleet, vm: FakeVm): number {
 	return fleet.vms.filter(({isGone}) => !isGone).filter(other => other.engine.addresses('orders', fleet.now).addresses.some(({address}) => address === vm.settings.callAddress)).length;
 }
 
@@ -29,11 +29,11 @@
 		const fleet = fleetOf(4);
 		const vm = fleet.vms[1]!;
 		traffic(fleet, vm, 1);
-		fleet.tell(vm, {type: 'stop-requested', by: 'signal'});
+		fleet.dispatch(vm, {type: 'stop-requested', by: 'signal'});
 		const steps: string[] = [];
 		for (const second of [0, 1, 2, 4, 5, 6, 7, 3600]) {
 			fleet.run((second * 1000) + 8000 - fleet.now);
-			steps.push(`${second} s: ${vm.stages.at(-1)}, named by ${namers(fleet, vm)}`);
+			steps.push(`${second} s: ${vm.stages.at(-1)}, named by ${countVmsNaming(fleet, vm)}`);
 		}
 
 		traffic(fleet, vm, 0);
@@ -44,11 +44,11 @@
 	it('begins on a signal, on an operator\'s word through any VM, and on the platform\'s list', function () {
 		const fleet = fleetOf(4);
 		const list = (state: 'live' | 'leaving') => ({type: 'vm-list', vms: [{address: 'vm-2:1', dataCentre: 'dc-2', state}]} as const);
-		fleet.tell(fleet.vms[0]!, {type: 'operator-drain', identity: 'vm-1'});
-		fleet.tell(fleet.vms[2]!, list('live'));
-		fleet.tell(fleet.vms[2]!, list('leaving'));
+		fleet.dispatch(fleet.vms[0]!, {type: 'operator-drain', identity: 'vm-1'});
+		fleet.dispatch(fleet.vms[2]!, list('live'));
+		fleet.dispatch(fleet.vms[2]!, list('leaving'));
 		// The list lags: it still tells of the process that ran here before.
-		fleet.tell(fleet.vms[3]!, {type: 'vm-list', vms: [{address: 'vm-3:1', dataCentre: 'dc-0', state: 'leaving'}]});
+		fleet.dispatch(fleet.vms[3]!, {type: 'vm-list', vms: [{address: 'vm-3:1', dataCentre: 'dc-0', state: 'leaving'}]});
 		fleet.run(100);
 		expect(fleet.vms.map(({stages}) => stages.at(-1))).toMatchSnapshot(this);
 	});
@@ -57,31 +57,31 @@
 	// or claim anything; if the old ones took it all with them, the service would end with the last of them.
 	it('all VMs are replaced in an outage of the store and nothing is lost', function () {
 		const fleet = fleetOf(6);
-		fleet.tell(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
+		fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
 		fleet.run(1000);
 		fleet.mode = 'down';
-		const fewest: number[] = [];
+		const minAddressCounts: number[] = [];
 		for (let index = 0; index < 6; index += 1) {
 			const live = fleet.vms.filter(({isGone}) => !isGone).map(({address}) => address);
 			fleet.add(`new-${index}`, `dc-${index % 3}`, {seeds: live.slice(0, 3)});
 			fleet.run(1000);
-			fleet.tell(fleet.vms[index]!, {type: 'stop-requested', by: 'signal'});
+			fleet.dispatch(fleet.vms[index]!, {type: 'stop-requested', by: 'signal'});
 			fleet.run(8000);
-			fewest.push(Math.min(...fleet.vms.filter(({isGone}) => !isGone).map(vm => vm.engine.addresses('orders', fleet.now).addresses.length)));
+			minAddressCounts.push(Math.min(...fleet.vms.filter(({isGone}) => !isGone).map(vm => vm.engine.addresses('orders', fleet.now).addresses.length)));
 		}
 
 		expect({
 			old: fleet.vms.slice(0, 6).map(({stages}) => stages.at(-1)),
 			fresh: fleet.vms.slice(6).map(vm => `${vm.stages.at(-1)} ${vm.configuration?.version} ${vm.configuration?.backendServers.size} ${vm.isCutOff}`),
 			slots: new Set(fleet.vms.slice(6).map(vm => vm.engine.status(fleet.now).shareSlot)).size,
-			fewest,
+			fewest: minAddressCounts,
 		}).toMatchSnapshot(this);
 	});
 });
 
 describe('leaving of a backend server', () => {
 	function declare(fleet: FakeFleet): string {
-		fleet.tell(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
+		fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
 		fleet.run(1500);
 		return [...fleet.vms[0]!.configuration!.backendServers.keys()][0]!;
 	}
@@ -93,7 +93,7 @@
 		const identity = declare(fleet);
 		fleet.mode = 'down';
 		const at = fleet.now;
-		fleet.tell(fleet.vms[9]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
+		fleet.dispatch(fleet.vms[9]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
 		fleet.run(2000);
 		expect(fleet.vms.map(({name, signs}) => `${name} ${signs.length} ${signs[0]!.at - at < 2000}`)).toMatchSnapshot(this);
 	});
@@ -103,16 +103,16 @@
 	it('an old sign does not bind a server that has returned', function () {
 		const fleet = fleetOf(4);
 		const identity = declare(fleet);
-		fleet.tell(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
+		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
 		fleet.pause(fleet.vms[3]!, 4000);
 		fleet.run(1500);
 		for (const vm of fleet.vms) {
-			fleet.tell(vm, {type: 'returned', identity, instance: 'p2'});
+			fleet.dispatch(vm, {type: 'returned', identity, instance: 'p2'});
 		}
 
 		fleet.run(8000);
 		const afterReturn = fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.length);
-		fleet.tell(fleet.vms[1]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
+		fleet.dispatch(fleet.vms[1]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
 		fleet.run(2000);
 		expect({afterReturn, leavesAgain: fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.map(({instance}) => instance))}).toMatchSnapshot(this);
 	});
@@ -122,13 +122,13 @@
 	it('a VM that starts after a server has returned is not told the old sign', () => {
 		const fleet = fleetOf(3);
 		const identity = declare(fleet);
-		fleet.tell(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
+		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
 		fleet.run(5000);
 		const report = {
 			inFlight: 0, queued: 0, slots: 6, instance: 'p2', isLeaving: false,
 		};
-		fleet.tell(fleet.vms[0]!, {type: 'returned', identity, instance: 'p2'});
-		fleet.tell(fleet.vms[0]!, {
+		fleet.dispatch(fleet.vms[0]!, {type: 'returned', identity, instance: 'p2'});
+		fleet.dispatch(fleet.vms[0]!, {
 			type: 'load-update', update: {
 				identity, report, ageMilliseconds: 0, suspects: [], crash: undefined,
 			},
@@ -145,9 +145,9 @@
 	it('the late words of a forerunner void no sign', () => {
 		const fleet = fleetOf(3);
 		const identity = declare(fleet);
-		fleet.tell(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
+		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
 		fleet.run(300);
-		fleet.tell(fleet.vms[0]!, {type: 'returned', identity, instance: 'p1'});
+		fleet.dispatch(fleet.vms[0]!, {type: 'returned', identity, instance: 'p1'});
 		fleet.run(3000);
 		expect(fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.map(({instance}) => instance))).toEqual([['p2'], ['p2'], ['p2']]);
 	});
--- a/src/common/fleet/stopping/vm-life.ts
+++ b/src/common/fleet/stopping/vm-life.ts
@@ -12,25 +12,25 @@
  * Time for the word that this VM leaves to reach all others, beyond the time for which callers keep an answer.
  * A VM that misses the word suspects this one only after its end; by then its own answers have expired as well.
  */
-const spreadMilliseconds: Milliseconds = 2000;
+const announcementSpreadMilliseconds: Milliseconds = 2000;
 
 /** Callers whose connection was closed open another elsewhere; this long a late one is still served here. */
-const closingMilliseconds: Milliseconds = 1000;
+const idleCloseMilliseconds: Milliseconds = 1000;
 
 /** What a stop needs done by others. */
-export type VmLifeParts = {
+export type VmLifecycleActions = {
 	/** Tell the other VMs that this one leaves. */
 	readonly announce: () => void;
 	/** Hand the share slot over, and call back when that is done. */
 	readonly handOver: (onDone: () => void) => void;
 };
 
-export class VmLife {
+export class VmLifecycle {
 	private readonly _chart: Chart<Action, Event>;
 	private _stage: FleetStage = 'starting';
 	private _callsInFlight = 0;
 
-	constructor(private readonly _context: FleetContext, parts: VmLifeParts) {
+	constructor(private readonly _context: FleetContext, parts: VmLifecycleActions) {
 		this._chart = new Chart<Action, Event>(chartDefinition, {
 			start: () => {
 				this._enter('starting');
@@ -41,11 +41,11 @@
 			leave: () => {
 				this._enter('leaving');
 				parts.announce();
-				this._after('answers-expired', _context.settings.answerKeepMilliseconds + spreadMilliseconds, 'ANSWERS_EXPIRED');
+				this._scheduleEvent('answers-expired', _context.settings.answerKeepMilliseconds + announcementSpreadMilliseconds, 'ANSWERS_EXPIRED');
 			},
 			closeIdle: () => {
 				this._enter('closing-idle');
-				this._after('idle-closed', closingMilliseconds, 'IDLE_CLOSED');
+				this._scheduleEvent('idle-closed', idleCloseMilliseconds, 'IDLE_CLOSED');
 			},
 			drain: () => {
 				// The count at hand is up to half a second old, and a call may have come since: only one that is
@@ -75,7 +75,7 @@
 		this._chart.start();
 	}
 
-	takeConfigured(): void {
+	handleConfigured(): void {
 		this._chart.send('CONFIGURED');
 	}
 
@@ -85,7 +85,7 @@
 	}
 
 	/** A download may take hours: there is no limit after which it would be cut. */
-	takeTraffic(traffic: FrontTraffic): void {
+	handleTraffic(traffic: FrontTraffic): void {
 		this._callsInFlight = traffic.callsInFlight;
 		this._checkDrained();
 	}
@@ -95,7 +95,7 @@
 		this._context.emit({type: 'stage', stage});
 	}
 
-	private _after(name: string, milliseconds: Milliseconds, event: Event): void {
+	private _scheduleEvent(name: string, milliseconds: Milliseconds, event: Event): void {
 		this._context.timers.set(name, this._context.now + milliseconds, () => {
 			this._chart.send(event);
 		});
--- a/src/common/fleet/test-utilities.test.ts
+++ b/src/common/fleet/test-utilities.test.ts
@@ -27,7 +27,7 @@
 	readonly versions: number[] = [];
 	readonly stages: FleetStage[] = [];
 	readonly answers: OperatorAnswer[] = [];
-	readonly answered: Array<{readonly requestId: number; readonly answer: OperatorAnswer; readonly headVersion: number}> = [];
+	readonly answerRecords: Array<{readonly requestId: number; readonly answer: OperatorAnswer; readonly headVersion: number}> = [];
 	readonly signs: Array<{readonly identity: string; readonly instance: string | undefined; readonly at: Instant}> = [];
 	configuration: CallConfiguration | undefined;
 	configuredAt: Instant = 0;
@@ -98,7 +98,7 @@
 			...overrides,
 		}, this._seed + this.vms.length + 1);
 		this.vms.push(vm);
-		this.tell(vm, {type: 'started'});
+		this.dispatch(vm, {type: 'started'});
 		return vm;
 	}
 
@@ -108,10 +108,10 @@
 		return entry ? Number(/"version":(?<version>\d+)/v.exec(entry.value)!.groups!.version) : 0;
 	}
 
-	tell(vm: FakeVm, event: FleetEvent): void {
+	dispatch(vm: FakeVm, event: FleetEvent): void {
 		if (vm.isRunning) {
 			for (const effect of vm.engine.handle(event, this.now)) {
-				this._carryOut(vm, effect);
+				this._applyEffect(vm, effect);
 			}
 		}
 	}
@@ -135,14 +135,14 @@
 
 	run(milliseconds: number): void {
 		const end = this.now + milliseconds;
-		for (let at = this._nextAt(); at !== undefined && at <= end; at = this._nextAt()) {
+		for (let at = this._nextStepAt(); at !== undefined && at <= end; at = this._nextStepAt()) {
 			this.now = Math.max(this.now, at);
 			this._runSteps();
 			this._runWatches();
 			for (const vm of this.vms) {
 				const wakeUp = vm.isRunning ? vm.engine.nextWakeUp() : undefined;
 				if (wakeUp !== undefined && wakeUp <= this.now) {
-					this.tell(vm, {type: 'tick'});
+					this.dispatch(vm, {type: 'tick'});
 				}
 			}
 
@@ -152,7 +152,7 @@
 		this.now = end;
 	}
 
-	private _nextAt(): Instant | undefined {
+	private _nextStepAt(): Instant | undefined {
 		let earliest = Number.POSITIVE_INFINITY;
 		for (const {at} of this._steps) {
 			earliest = Math.min(earliest, at);
@@ -194,17 +194,17 @@
 	}
 
 	/** The front tells its traffic twice a second. */
-	private _tellTraffic(vm: FakeVm): void {
+	private _reportTraffic(vm: FakeVm): void {
 		this.after(500, () => {
 			const {callsInFlight} = vm;
-			this.tell(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
+			this.dispatch(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
 			if (!vm.isGone) {
-				this._tellTraffic(vm);
+				this._reportTraffic(vm);
 			}
 		});
 	}
 
-	private _carryOut(vm: FakeVm, effect: FleetEffect): void {
+	private _applyEffect(vm: FakeVm, effect: FleetEffect): void {
 		switch (effect.type) {
 			case 'store': {
 				this._execute(vm, effect.requestId, effect.operation);
@@ -236,7 +236,7 @@
 
 			case 'operator-answer': {
 				vm.answers.push(effect.answer);
-				vm.answered.push({requestId: effect.requestId, answer: effect.answer, headVersion: this.headVersion()});
+				vm.answerRecords.push({requestId: effect.requestId, answer: effect.answer, headVersion: this.headVersion()});
 				break;
 			}
 
@@ -244,7 +244,7 @@
 				vm.stages.push(effect.stage);
 				vm.isGone = effect.stage === 'ended';
 				if (effect.stage === 'draining') {
-					this._tellTraffic(vm);
+					this._reportTraffic(vm);
 				}
 
 				break;
@@ -293,27 +293,27 @@
 	}
 
 	private _deliverReply(vm: FakeVm, requestId: number, reply: StoreReply): void {
-		this._arrive(vm, this._delay(), {type: 'store-replied', requestId, reply});
+		this._deliverEvent(vm, this._delay(), {type: 'store-replied', requestId, reply});
 	}
 
 	private _deliver(vm: FakeVm, {to, message}: FleetEffect & {readonly type: 'send'}): void {
 		const target = this.vms.findLast(({address, isGone}) => address === to && !isGone);
 		if (!target || this.cuts.has(`${vm.name}>${target.name}`)) {
-			this._arrive(vm, 300, {type: 'peer-unreachable', to});
+			this._deliverEvent(vm, 300, {type: 'peer-unreachable', to});
 			return;
 		}
 
 		// A copy, as after a wire: no VM may change what another holds.
-		this._arrive(target, this._delay(), {type: 'peer-message', message: structuredClone(message)});
+		this._deliverEvent(target, this._delay(), {type: 'peer-message', message: structuredClone(message)});
 	}
 
 	/** Events for a paused VM wait until it runs again. */
-	private _arrive(vm: FakeVm, milliseconds: number, event: FleetEvent): void {
+	private _deliverEvent(vm: FakeVm, milliseconds: number, event: FleetEvent): void {
 		this.after(milliseconds, () => {
 			if (vm.isPaused) {
-				this._arrive(vm, 10, event);
+				this._deliverEvent(vm, 10, event);
 			} else {
-				this.tell(vm, event);
+				this.dispatch(vm, event);
 			}
 		});
 	}
