--- a/src/common/fleet/addresses/address-book.ts
+++ b/src/common/fleet/addresses/address-book.ts
@@ -1,6 +1,6 @@
 /**
- * The answer to "which addresses": which VMs a caller should use for a service. It is the lever that decides
- * which VMs carry which services: at the target size each carries only some, and so knows only their servers.
+ * Selects the VMs that a caller should use for a service. The selection determines which VMs serve which services: at the
+ * target size each VM serves only some services, and so needs the state of their backend servers only.
  */
 import {type RandomSource} from '../../model/units.ts';
 import {type MemberRecord} from '../peer-messages.ts';
@@ -8,40 +8,40 @@
 	type AddressAnswer, type AddressChoice, type FleetSettings, type HashFunction,
 } from '../types.ts';
 
-/** A VM that may be named, by its latest record. */
+/** A VM that may be returned to callers, with its latest record. */
 export type AddressCandidate = {readonly record: Pick<MemberRecord, 'identity' | 'callAddress' | 'dataCentre' | 'utilisation'>};
 
-/** All that may be named. */
+/** All VMs that may be returned to callers. */
 export type AddressCandidates = {
-	/** Another number whenever the VMs are others; the subsets are kept until then. */
+	/** Changes whenever the list of VMs changes; subsets are cached until then. */
 	readonly revision: number;
 	readonly vms: readonly AddressCandidate[];
 };
 
 type Subset = {readonly revision: number; readonly size: number; readonly vms: readonly AddressCandidate[]};
 
-/** Subsets kept: more than there are services at the target size; callers may ask for names that no service has. */
+/** Maximum number of cached subsets. Exceeds the number of services at the target size; a limit is needed because callers may request services that do not exist. */
 const maxSubsets = 2000;
 
-/** VMs in one answer: enough to survive the loss of a data centre, few enough that a caller keeps connections to all. */
+/** Maximum number of VMs in one answer: enough to survive the loss of a data centre, few enough for a caller to keep connections to all. */
 const maxAddresses = 8;
 
-/** A full VM still gets this part of the weight of an idle one: loads in answers are old, and all callers act on them. */
+/** Weight of a fully utilised VM relative to an idle one. It is above 0 because utilisation is out of date by the time callers act on it, all in the same way. */
 const minWeight = 0.25;
 
-/** Utilisation of the caller's own data centre above which others begin to get its callers; at 1 they get all alike. */
+/** Utilisation of the caller's data centre above which other data centres receive more of its callers; at 1 all data centres are weighted equally. */
 const overflowUtilisation = 0.8;
 
-/** Weight of VMs in other data centres while the own one has room: enough to keep connections to them warm. */
+/** Weight factor of VMs in other data centres while the caller's own has spare capacity: enough to keep connections to them open. */
 const remoteWeight = 0.05;
 
-/** Load of a service that one VM should carry at most, as calls in flight, before the subset grows. */
+/** Calls in flight of one service per VM, above which the subset grows. */
 const maxCallsInFlightPerVm = 200;
 
-/** The subset is this much larger than its load needs, so that losing a data centre of three leaves enough. */
+/** Factor by which the subset exceeds what its load needs, so that enough VMs remain after the loss of one of three data centres. */
 const spareCapacityFactor = 1.5;
 
-/** Answers expire at different times, so that callers who came together do not ask again together. */
+/** Random spread of the answers' time to live, so that callers that started together do not query again together. */
 const ttlSpread = 0.2;
 
 export class AddressSelector {
@@ -52,7 +52,7 @@
 		this._hash = hash;
 	}
 
-	/** @param callsInFlight of the service in the whole fleet, an estimate */
+	/** @param callsInFlight estimated calls in flight of the service in the whole fleet */
 	answer(service: string, candidates: AddressCandidates, callsInFlight: number, dataCentre: string | undefined): AddressAnswer {
 		const subset = this._subset(service, candidates, callsInFlight);
 		const remoteFactor = this._remoteFactor(subset, dataCentre);
@@ -69,8 +69,8 @@
 	}
 
 	/**
-	 * Rendezvous hashing: all VMs choose the same subset without a word between them, and one VM more or less
-	 * moves only its own part. The size grows with the service's load, never below what the settings ask for.
+	 * Chooses the service's VMs by rendezvous hashing: all VMs choose the same subset without communication, and adding or
+	 * removing a VM changes only its own place. The size grows with the service's load from the configured minimum.
 	 */
 	private _subset(service: string, {revision, vms}: AddressCandidates, callsInFlight: number): readonly AddressCandidate[] {
 		const size = Math.max(this._settings.smallestSubset, Math.ceil(callsInFlight * spareCapacityFactor / maxCallsInFlightPerVm));
@@ -96,7 +96,7 @@
 		return chosen;
 	}
 
-	/** Smooth, so that not all callers of a data centre change their mind at the same load. */
+	/** Weight factor of other data centres. It rises gradually, so that a data centre's callers do not all switch at the same load. */
 	private _remoteFactor(subset: readonly AddressCandidate[], dataCentre: string | undefined): number {
 		const local = subset.filter(({record}) => record.dataCentre === dataCentre);
 		if (local.length === 0) {
@@ -108,7 +108,7 @@
 		return remoteWeight + ((1 - remoteWeight) * overflow);
 	}
 
-	/** A random order by weight (Efraimidis and Spirakis 2006): callers that use the first one only still spread. */
+	/** Weighted random order (Efraimidis and Spirakis 2006), so that callers that use only the first address are spread as well. */
 	private _sample(choices: readonly AddressChoice[]): AddressChoice[] {
 		return choices
 			.map(choice => ({choice, key: this._random.next() ** (1 / choice.weight)}))
--- a/src/common/fleet/chart.ts
+++ b/src/common/fleet/chart.ts
@@ -1,9 +1,9 @@
-/** Runs a state chart from a JSON file by xstate's pure transitions; what is done on entry is handed in. */
+/** Runs a state chart from a JSON file with xstate's pure transition functions; the entry actions are passed in as functions. */
 import {
 	type AnyMachineSnapshot, type AnyStateMachine, createMachine, initialTransition, transition,
 } from 'xstate';
 
-/** A chart as its file holds it. */
+/** Content of a chart's JSON file. */
 export type ChartDefinition = {
 	readonly id: string;
 	readonly initial: string;
@@ -34,7 +34,7 @@
 	return machine;
 }
 
-/** One run of a chart. An action may itself send an event: it is taken when the present step is done. */
+/** One run of a chart. An event sent by an action is queued until the actions of the current transition have run. */
 export class Chart<Action extends string, Event extends string> {
 	private readonly _actions: ReadonlyMap<string, () => void>;
 	private readonly _machine: AnyStateMachine;
@@ -47,19 +47,19 @@
 		this._actions = new Map(Object.entries(actions));
 	}
 
-	/** Name of the present state; empty before the start. */
+	/** Name of the current state; empty before the start. */
 	get state(): string {
 		return String(this._snapshot?.value ?? '');
 	}
 
-	/** Enters the first state. */
+	/** Enters the initial state. */
 	start(): void {
 		const [snapshot, actions] = initialTransition(this._machine);
 		this._snapshot = snapshot;
 		this._run(actions);
 	}
 
-	/** Events that the present state does not know are dropped: late events of a step that is over. */
+	/** Queues an event. An event that the current state does not handle is dropped, as it belongs to an earlier state. */
 	send(event: Event): void {
 		this._queue.push(event);
 		if (!this._isRunning) {
--- a/src/common/fleet/configuration/change-attempt.ts
+++ b/src/common/fleet/configuration/change-attempt.ts
@@ -1,4 +1,4 @@
-/** One operator's change on its way into the platform's service; steps and order are in charts/configuration-change.json. */
+/** Commits one operator's change to the platform's service; the state machine is charts/configuration-change.json. */
 import chartDefinition from '../../../../charts/configuration-change.json' with {type: 'json'};
 import {failure} from '../../errors/failure.ts';
 import {type Instant} from '../../model/units.ts';
@@ -18,15 +18,15 @@
 type Event = 'HAS_BASE' | 'NO_BASE' | 'READ' | 'FAILED' | 'BEHIND' | 'CAUGHT_UP' | 'SMALL' | 'LARGE' | 'UNCERTAIN' | 'SETTLED'
 	| 'WRITTEN' | 'LOST' | 'UNAVAILABLE' | 'UNKNOWN' | 'RETRY' | 'DEADLINE' | 'FOUND' | 'UNCHANGED' | 'MOVED_ON';
 
-/** How long an operator waits at most for a certain answer. Past it the answer is "unknown". */
+/** Deadline for a definite answer to the operator; after it the answer to an uncertain write is "unknown". */
 const answerTimeoutMilliseconds = 10_000;
 const initialReadBackMilliseconds = 100;
 const maxReadBackMilliseconds = 1000;
 
-/** Tries against other writers; each failed one means that another change got in, so the store as a whole moves on. */
+/** Maximum number of plans against concurrent writers. Each conflict means that another change was committed, so the fleet as a whole makes progress. */
 const maxPlans = 32;
 
-/** What is to be committed: the head to write, and what it brings into force. */
+/** A commit: the head to write, the head it replaces and the record that it adds. */
 type Commit = {readonly base: HeadBase; readonly record: ChangeRecord; readonly head: ConfigurationHead};
 
 export class ChangeAttempt {
@@ -79,7 +79,7 @@
 		private readonly _onAnswer: (answer: OperatorAnswer) => void,
 	) {
 		this._deadline = _context.now + answerTimeoutMilliseconds;
-		this._answer = this._refused('store-unavailable', 'The platform\'s service could not be reached; this request changed nothing, an earlier sending of it may have.');
+		this._answer = this._refused('store-unavailable', 'The platform\'s service could not be reached; this request changed nothing, but an earlier attempt may have.');
 	}
 
 	start(): void {
@@ -95,7 +95,7 @@
 		this._chart.send(this._base ? 'HAS_BASE' : 'NO_BASE');
 	}
 
-	/** The newest head that this VM has seen. It was the newest once; that says nothing about now. */
+	/** The newest head that this VM has seen, marked as unconfirmed because a newer one may exist by now. */
 	private _unconfirmedBase(): HeadBase | undefined {
 		const {base} = this._reader;
 		return base && {...base, isConfirmed: false};
@@ -111,21 +111,21 @@
 	private _plan(): void {
 		const base = this._base!;
 		this._planCount += 1;
-		// Whatever stops this try before its own answer: an earlier try's verdict must not be told.
+		// Answer if this attempt fails before it has one of its own; the answer of an earlier attempt must not be returned.
 		this._answer = this._refused('store-unavailable', 'The platform\'s service could not be reached; nothing was changed.');
-		// The same operation may have been sent before, through another VM, and its answer lost.
+		// The same operation may have been sent before through another VM, with its answer lost.
 		const earlier = base.head.records.find(record => record.operationId === this._change.operationId);
 		if (earlier) {
 			this._settle({type: 'accepted', version: earlier.version});
 		} else if (this._isUncertainWriteBeyondHistory(base)) {
 			this._settle({type: 'unknown', operationId: this._change.operationId});
 		} else if (this._planCount > maxPlans) {
-			this._settle(this._refused('contended', 'Other changes came first each time; nothing was changed.'));
+			this._settle(this._refused('contended', 'Concurrent changes were committed first in every attempt; nothing was changed.'));
 		} else if (base.head.version > this._state.version || !this._state.isLoaded) {
 			this._chart.send('BEHIND');
 		} else if (base.head.version < this._state.version) {
-			this._answer = this._refused('store-lost-configuration', 'The platform\'s service holds an older configuration than the one in force; nothing was changed.');
-			// Peers may have told of a newer version than even a fresh reply holds: only a write proves the loss.
+			this._answer = this._refused('store-lost-configuration', 'The platform\'s service holds an older configuration than the one in force on this VM; nothing was changed.');
+			// A newer version may have arrived from peers after the reply was sent: only a compare-and-swap proves the loss.
 			this._chart.send('UNCERTAIN');
 		} else {
 			this._planOnState(base);
@@ -133,8 +133,8 @@
 	}
 
 	/**
-	 * Guard: after a lost answer the proof that the write never took effect is a history without it. A
-	 * history that no longer reaches back so far proves nothing; "not accepted" could be a falsehood.
+	 * Guards against a false refusal after a lost reply. A history without the change proves that the write did not take
+	 * effect, but a history that no longer reaches back to the change's version proves nothing.
 	 */
 	private _isUncertainWriteBeyondHistory(base: HeadBase): boolean {
 		const uncertainVersion = this._uncertainOutcomes > 0 ? this._commit?.record.version : undefined;
@@ -161,8 +161,8 @@
 	}
 
 	/**
-	 * A negative answer may rest on a stale replica. Before it is given, a compare-and-swap that writes the
-	 * head's own content proves that this head is the newest; if it is not, the change is planned again.
+	 * A negative answer may be based on a stale replica. Before it is returned, a compare-and-swap that rewrites the head
+	 * unchanged proves that this head is the newest; on a conflict the change is planned again.
 	 */
 	private _settleIfConfirmed(): void {
 		this._chart.send(this._base?.isConfirmed ? 'SETTLED' : 'UNCERTAIN');
@@ -181,7 +181,7 @@
 		});
 	}
 
-	/** Too much for the head: everything goes into a new snapshot, and the head keeps a shorter history. */
+	/** Writes a new snapshot, because the history no longer fits into the head, and trims the history. A large record goes into the snapshot only. */
 	private _writeShards(): void {
 		const base = this._base!;
 		const record = this._record!;
@@ -217,7 +217,7 @@
 		this._context.requestStore({
 			type: 'compare-and-swap', key, expected: 0, value: text,
 		}, reply => {
-			// A conflict is this very shard, written by an earlier try whose answer was lost: its key says its content.
+			// A conflict means that an earlier attempt, whose reply was lost, wrote this same shard: the key determines the content.
 			const revision = reply.type === 'written' ? reply.revision : (reply.type === 'conflict' ? reply.entry?.revision : undefined);
 			if (revision === undefined) {
 				this._chart.send('FAILED');
@@ -265,7 +265,7 @@
 		this._chart.send('WRITTEN');
 	}
 
-	/** A reader of the old snapshot that finds a shard gone reads the head again. */
+	/** Deletes the shards of the replaced snapshot; a VM that is still loading it reads the head again when a shard is missing. */
 	private _deleteOldShards(before: ConfigurationHead, after: ConfigurationHead): void {
 		if (before.snapshot.version !== after.snapshot.version) {
 			for (const {key, revision} of before.snapshot.shards) {
@@ -279,7 +279,7 @@
 		if (this._base) {
 			this._chart.send('LOST');
 		} else {
-			this._answer = this._refused('store-lost-configuration', 'The configuration in the platform\'s service can\'t be read; nothing was changed.');
+			this._answer = this._refused('store-lost-configuration', 'The configuration head in the platform\'s service is invalid; nothing was changed.');
 			this._chart.send('UNAVAILABLE');
 		}
 	}
@@ -288,7 +288,7 @@
 		const {revision, head} = this._base!;
 		const isAbsent = revision === 0;
 		if (isAbsent && this._state.version === 0) {
-			// Nothing was ever declared as far as anyone knows: there is nothing to confirm, and nothing is written.
+			// No configuration has ever been declared, as far as any VM has reported: there is no head to confirm.
 			this._chart.send('WRITTEN');
 			return;
 		}
@@ -307,7 +307,7 @@
 		} else if (reply.type === 'conflict') {
 			this._handleConflict(reply);
 		} else {
-			this._answer = this._refused('store-unavailable', 'The platform\'s service could not be reached; this request changed nothing, an earlier sending of it may have.');
+			this._answer = this._refused('store-unavailable', 'The platform\'s service could not be reached; this request changed nothing, but an earlier attempt may have.');
 			this._chart.send('FAILED');
 		}
 	}
@@ -326,10 +326,10 @@
 	}
 
 	/**
-	 * Guard against a lost answer: the write may have taken effect, or may yet. Reading alone never proves
-	 * that it did not, as it could still be on its way. So if the head is unchanged the same compare-and-swap
-	 * is sent again: at most one of the two can succeed, and whichever does is this same change. Once the
-	 * revision has moved on without the change in its history, the first write can't succeed any more.
+	 * Resolves a write whose reply was lost: it may have taken effect or may still do so. Reading alone cannot prove that it
+	 * did not, because the write may still be in transit. So if the head is unchanged, the same compare-and-swap is sent
+	 * again: at most one of the two can succeed, and either commits this change. Once the head has a newer revision whose
+	 * history lacks the change, the first write can no longer succeed.
 	 */
 	private _readBack(): void {
 		const {base, record} = this._commit!;
--- a/src/common/fleet/configuration/configuration-exchange.ts
+++ b/src/common/fleet/configuration/configuration-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Passes changes from VM to VM, so that few need to watch the platform's service. A change is pushed on at
- * first receipt; whoever missed it sees the newer version on the next message from anybody and pulls.
+ * Spreads configuration changes among the VMs, so that only a few need to watch the platform's service. Each VM pushes a
+ * change when it first receives it. A VM that missed the push sees the newer version in the next peer message and pulls.
  */
 import {type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
@@ -10,21 +10,21 @@
 import {type ConfigurationState} from './configuration-state.ts';
 
 /**
- * Peers that a VM pushes a change to. With 4, each of n VMs is missed by all of them with a chance of about
- * e^-4 = 2%; the probes' versions bring the rest within about one probe interval.
+ * Number of peers to which each VM pushes a change. With 4, a given VM gets no push with a probability of about
+ * e^-4 = 2%; the versions in probes make it pull within about one probe interval.
  */
 const changePushTargets = 4;
 
 /**
- * A pull that nobody answered, or that brings no further page, is tried again elsewhere after this: many round
- * trips, and short enough for a VM that wakes beside two dead ones to be up to date before it places calls.
+ * A pull without an answer or a further page for this time is retried with another VM. The time spans many round trips,
+ * and is short enough that a VM that resumes beside two dead ones is up to date before it places calls.
  */
 const pullTimeoutMilliseconds: Milliseconds = 150;
 
-/** Resources on one page of a snapshot: about 100 KB, far below what a message may hold. */
+/** Resources per page of a snapshot: about 100 KB, far below the size limit of a message. */
 const resourcesPerPage = 250;
 
-/** Records in one message; a VM that is further behind gets the snapshot. */
+/** Maximum number of records per message; a VM that is further behind gets a snapshot. */
 const maxRecordsPerMessage = 200;
 
 type PartialSnapshot = {readonly from: PeerAddress; readonly version: ConfigurationVersion; readonly pages: Map<number, PeerBody & {readonly type: 'snapshot-page'}>};
@@ -45,12 +45,12 @@
 		this._onAdopted = onAdopted;
 	}
 
-	/** Newest version that anybody was heard to hold. */
+	/** Newest version that any VM has reported. */
 	get newestKnown(): ConfigurationVersion {
 		return Math.max(this._newestKnown, this._state.version);
 	}
 
-	/** A VM's own word on its version; pulls if it is ahead. A VM without any configuration asks everybody who has one. */
+	/** Records a sender's version, and pulls from it if it is newer. Without a configuration, this VM pulls from any sender that serves. */
 	handleSender(sender: MemberRecord): void {
 		this._newestKnown = Math.max(this._newestKnown, sender.configurationVersion);
 		const isAhead = sender.configurationVersion > this._state.version || (!this._state.isLoaded && sender.isServing);
@@ -63,7 +63,7 @@
 		this._finishPull(this._state.adopt(records), from);
 	}
 
-	/** Pages of different versions or senders never mix: half of a change must not come into force. */
+	/** Collects the pages of a snapshot. Pages of different versions or senders are never combined, as a change must not come into force in part. */
 	handlePage(from: MemberRecord, body: PeerBody & {readonly type: 'snapshot-page'}): void {
 		if (this._incoming?.from !== from.peerAddress || this._incoming.version !== body.version) {
 			this._incoming = {from: from.peerAddress, version: body.version, pages: new Map()};
@@ -82,7 +82,7 @@
 		this._finishPull(isReplaced, from);
 	}
 
-	/** A peer asks for what came after the version it has; -1 = it has nothing. */
+	/** Sends a peer the changes after its version, or a snapshot; `after` is -1 if the peer has no configuration. */
 	answerRequest(to: PeerAddress, after: number): void {
 		if (!this._state.isLoaded || (after >= this._state.version && after >= 0)) {
 			return;
@@ -96,7 +96,7 @@
 		}
 	}
 
-	/** Tells some that are behind. Called at each step forward, whatever brought it. */
+	/** Pushes changes to some members that are behind. Called whenever a newer configuration has come into force. */
 	push(): void {
 		const {version} = this._state;
 		const behind = this._membership.live.filter(({record}) => record.configurationVersion < version);
@@ -111,7 +111,7 @@
 
 	private _pull(from: PeerAddress): void {
 		this._pullSource = from;
-		// -1 asks for anything at all, even an empty configuration; versions start at 0.
+		// -1 requests any configuration, even an empty one, as versions start at 0.
 		this._send(from, {type: 'changes-request', after: this._state.isLoaded ? this._state.version : -1});
 		this._schedulePullRetry();
 	}
@@ -124,7 +124,7 @@
 
 	private _retryPull(): void {
 		const ahead = this._membership.live.filter(({record}) => record.configurationVersion > this._state.version || (!this._state.isLoaded && record.isServing));
-		// The one that did not answer may be dead and not known to be: it is asked again only if it is the only one.
+		// The VM that did not answer may have failed undetected: it is used again only if no other VM is ahead.
 		const others = ahead.filter(({record}) => record.peerAddress !== this._pullSource);
 		const [member] = this._context.pick(others.length > 0 ? others : ahead, 1);
 		if (member) {
--- a/src/common/fleet/configuration/configuration-reader.ts
+++ b/src/common/fleet/configuration/configuration-reader.ts
@@ -1,4 +1,4 @@
-/** Keeps this VM's configuration up with the head in the platform's service: reads, watches, loads snapshots. */
+/** Keeps this VM's configuration up to date with the head in the platform's service: polls, watches and loads snapshots. */
 import {ok, type Result} from 'neverthrow';
 import {describeFailure, type Failure} from '../../errors/failure.ts';
 import {type StoredResource} from '../../model/resources.ts';
@@ -9,25 +9,25 @@
 	type ConfigurationHead, decodeHead, decodeShard, emptyHead, headKey, type HeadFailureKind,
 } from './head.ts';
 
-/** A head as read, with the revision that a compare-and-swap on it names. */
+/** A head with its revision in the store, which a compare-and-swap on it must name. */
 export type HeadBase = {
 	readonly revision: number;
 	readonly head: ConfigurationHead;
-	/** It came from a compare-and-swap, which no stale replica answers. */
+	/** True if the head came from a compare-and-swap, which a stale replica cannot answer. */
 	readonly isConfirmed: boolean;
 };
 
-/** A waiting watch counts as one call; long ones cost the service least and tell as soon as short ones. */
+/** Duration of one watch. A waiting watch counts as one call, and a long one reports changes as fast as a short one, so long watches cost the service least. */
 const watchTimeoutMilliseconds = 20_000;
 
-/** First and longest wait after a failed read or watch: an outage must not be met by a storm of reads. */
+/** Initial and maximum delay of the exponential back-off after a failed read or watch, which avoids a flood of reads during an outage. */
 const initialRetryMilliseconds = 250;
 const maxRetryMilliseconds = 2000;
 
-/** A VM that doesn't watch still reads the head now and then, should its peers be wrong about who watches. */
+/** Interval at which each VM reads the head, even if it does not watch: its peers may disagree on which VMs watch. */
 const pollIntervalMilliseconds = 30_000;
 
-/** Without any live peer the store's answers are the only proof that the configuration is not old. */
+/** Interval without a live peer, when replies of the store are the only evidence that the configuration is up to date. */
 const isolatedPollIntervalMilliseconds = 2000;
 const pollCheckIntervalMilliseconds = 1000;
 
@@ -45,17 +45,17 @@
 	constructor(
 		private readonly _context: FleetContext,
 		private readonly _state: ConfigurationState,
-		/** Called whenever the configuration in force has moved forward. */
+		/** Called whenever a newer configuration has come into force. */
 		private readonly _onAdopted: () => void,
-		/** Whether an empty service may be believed: a stale replica shows one too. */
+		/** Whether a missing head may be adopted as an empty configuration; a stale replica may lack the head too. */
 		private readonly _mayAdoptEmpty: () => boolean,
-		/** Whether no other VM answers. */
+		/** Whether no other VM is live. */
 		hasNoLivePeer: () => boolean,
 	) {
 		this._hasNoLivePeer = hasNoLivePeer;
 	}
 
-	/** The newest head seen. */
+	/** The newest head seen so far. */
 	get base(): HeadBase | undefined {
 		return this._base;
 	}
@@ -68,7 +68,7 @@
 		this._poll();
 	}
 
-	/** Whether this VM is one of the few that watch. */
+	/** Starts watching the head, or stops after the watch in progress. */
 	setWatching(isWatching: boolean): void {
 		this._isWatching = isWatching;
 		if (isWatching) {
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** Asks for the head; `entry` is undefined in a reply that has none. */
+	/** Reads the head; a missing head counts as version 0. */
 	readHead(onDone: (outcome: ReadOutcome, base: HeadBase | undefined) => void): void {
 		this._context.requestStore({type: 'get', key: headKey}, reply => {
 			if (reply.type !== 'entry') {
@@ -89,11 +89,11 @@
 		});
 	}
 
-	/** Takes note of a head, from whatever source, and moves forward if it is newer. */
+	/** Decodes a head from any source and catches up if it is newer; undefined if the head is invalid. */
 	observe(entry: StoreEntry | undefined, isConfirmed: boolean): HeadBase | undefined {
 		const decoded: Result<ConfigurationHead, Failure<HeadFailureKind>> = entry ? decodeHead(entry.value) : ok(emptyHead);
 		if (decoded.isErr()) {
-			this._context.log('error', 'The configuration in the platform\'s service can\'t be read', {failure: describeFailure(decoded.error)});
+			this._context.log('error', 'the configuration head in the platform\'s service is invalid; the configuration in force stays', {failure: describeFailure(decoded.error)});
 			return undefined;
 		}
 
@@ -102,7 +102,7 @@
 		return base;
 	}
 
-	/** As `observe`, for a head that this VM has just written. */
+	/** Like `observe`, for a decoded head. */
 	observeBase(base: HeadBase): void {
 		if (!this._base || base.revision >= this._base.revision) {
 			this._base = base;
@@ -110,14 +110,14 @@
 		}
 	}
 
-	/** Takes over a whole configuration that this VM has just written, and tells so like any other step forward. */
+	/** Adopts a whole configuration that this VM has just written, and reports it through `onAdopted` like any other new version. */
 	adoptWritten(version: number, resources: Iterable<StoredResource>, records: ConfigurationHead['records']): void {
 		if (this._state.replace(version, resources, records)) {
 			this._onAdopted();
 		}
 	}
 
-	/** Brings the configuration in force up to the newest head seen. */
+	/** Brings the configuration in force up to the newest head seen, loading the snapshot if necessary. */
 	catchUp(onDone: (outcome: ReadOutcome) => void): void {
 		const head = this._base?.head;
 		if (!head || (this._state.isLoaded && head.version <= this._state.version)) {
@@ -170,7 +170,7 @@
 		this._context.requestStore({type: 'get', key: shard.key}, reply => {
 			const decoded = reply.type === 'entry' && reply.entry ? decodeShard(reply.entry.value) : undefined;
 			if (!decoded?.isOk()) {
-				// Gone because a newer snapshot replaced it, or the service is out: the next read of the head tells.
+				// Either a newer snapshot has replaced this one, or the service is unavailable; the next read of the head shows which.
 				this._endLoading('failed');
 				this._retryLater();
 				return;
--- a/src/common/fleet/configuration/configuration-state.ts
+++ b/src/common/fleet/configuration/configuration-state.ts
@@ -1,4 +1,4 @@
-/** The configuration in force on this VM. It only moves forward, a whole change at a time. */
+/** The configuration in force on this VM. Its version only increases, and each change is applied atomically. */
 import {type CallConfiguration} from '../../calls/types.ts';
 import {
 	type BackendServer, type ResourceKey, resourceKey, type Service, type SharingRule, type StoredResource,
@@ -7,7 +7,7 @@
 import {type ConfigurationVersion} from '../types.ts';
 import {maxHistoryRecords} from './head.ts';
 
-/** Keys a record touches. */
+/** Key of the resource that a recorded mutation changes. */
 export function mutationKey(mutation: ChangeRecord['mutations'][number]): ResourceKey {
 	return mutation.type === 'put' ? resourceKey(mutation.resource) : resourceKey(mutation);
 }
@@ -24,9 +24,9 @@
 }
 
 /**
- * Guard against going back: an old copy may come from a late watch event, a stale replica, a peer that
- * was paused. It would show as a withdrawn rule that is in force again. Both ways in compare versions and
- * take nothing that is not newer, and a record only directly after its predecessor.
+ * Guards against a return to an older version, which would bring a withdrawn rule back into force. An old copy may come
+ * from a late watch event, a stale replica or a peer that was paused. Both `adopt` and `replace` accept newer versions
+ * only, and `adopt` accepts a record only directly after its predecessor.
  */
 export class ConfigurationState {
 	private _version: ConfigurationVersion = 0;
@@ -38,7 +38,7 @@
 		return this._version;
 	}
 
-	/** False until a first configuration was taken over, be it an empty one. */
+	/** False until a first configuration, which may be empty, has been adopted. */
 	get isLoaded(): boolean {
 		return this._isLoaded;
 	}
@@ -47,12 +47,12 @@
 		return this._resources;
 	}
 
-	/** Latest changes, oldest first, without gaps. */
+	/** The latest changes, oldest first, without gaps. */
 	get records(): readonly ChangeRecord[] {
 		return this._records;
 	}
 
-	/** Applies the records that follow on from what is in force; true if anything changed. */
+	/** Applies the records that directly follow the version in force; true if the version changed. */
 	adopt(records: readonly ChangeRecord[]): boolean {
 		const before = this._version;
 		const isFirst = !this._isLoaded && records[0]?.version === 1;
@@ -73,7 +73,7 @@
 		return this._version > before;
 	}
 
-	/** Takes over a whole configuration if it is newer than what is in force, or the first. */
+	/** Replaces the whole configuration if the new one is newer or is the first; true if it was replaced. */
 	replace(version: ConfigurationVersion, resources: Iterable<StoredResource>, records: readonly ChangeRecord[]): boolean {
 		if (this._isLoaded && version <= this._version) {
 			return false;
@@ -86,14 +86,14 @@
 		return true;
 	}
 
-	/** Records after a version, or undefined if the history does not reach back so far. */
+	/** Records after a version, or undefined if the history does not contain all of them. */
 	recordsAfter(version: ConfigurationVersion): readonly ChangeRecord[] | undefined {
 		const following = this._records.filter(record => record.version > version);
 		const isWhole = following.length === this._version - version && following.every(record => !record.isInSnapshotOnly);
 		return isWhole ? following : undefined;
 	}
 
-	/** What calls depend on; a new object, safe to keep. */
+	/** The configuration for the call engine, as a new object that later changes do not modify. */
 	callConfiguration(): CallConfiguration {
 		const services = new Map<string, Service>();
 		const backendServers = new Map<string, BackendServer>();
--- a/src/common/fleet/configuration/configuration-writer.ts
+++ b/src/common/fleet/configuration/configuration-writer.ts
@@ -1,4 +1,4 @@
-/** Takes operators' changes, one at a time: two changes through one VM need no compare-and-swap to fight over. */
+/** Queues operators' changes and commits them one at a time, so that changes through one VM do not compete for the compare-and-swap. */
 import {type FleetContext} from '../fleet-context.ts';
 import {type OperatorAnswer, type OperatorChange} from '../types.ts';
 import {ChangeAttempt} from './change-attempt.ts';
--- a/src/common/fleet/configuration/head.ts
+++ b/src/common/fleet/configuration/head.ts
@@ -1,6 +1,6 @@
 /**
- * How the configuration lies in the platform's service. One key, the head, is the commit point of
- * every change; the bulk lies in immutable shards of a snapshot that the head points to.
+ * Storage format of the configuration in the platform's service. One key, the head, is the commit point of every change.
+ * The head holds the latest changes and points to a snapshot, which is stored in immutable shards.
  */
 import {ok, err, type Result} from 'neverthrow';
 import {z} from 'zod';
@@ -8,23 +8,23 @@
 import {type StoredResource, storedResourceSchema} from '../../model/resources.ts';
 import {type ChangeRecord, changeRecordSchema} from '../peer-messages.ts';
 
-/** The one key whose compare-and-swap commits a change. */
+/** Key of the head; a compare-and-swap on it commits a change. */
 export const headKey = 'jaydale/configuration/head';
 
-/** Prefix of the snapshot's shards; a key is never written twice with different content. */
+/** Key prefix of the snapshot's shards; no key is ever written twice with different content. */
 export const shardPrefix = 'jaydale/configuration/snapshot/';
 
 /**
- * Largest shard in characters. The platform's values hold a megabyte; names and addresses are ASCII, and
- * the margin is for the notes that are not.
+ * Maximum length of a shard in characters. A value in the platform's service holds a megabyte. Names and addresses are
+ * ASCII; the margin allows for notes, which may hold longer characters.
  */
 export const maxShardCharacters = 450_000;
 
-/** Largest history in the head, in characters and records; beyond it the writer makes a new snapshot. */
+/** Maximum history in the head, in characters and in records; a longer one makes the writer store a new snapshot. */
 export const historyCharacters = 400_000;
 export const maxHistoryRecords = 512;
 
-/** Records kept when a new snapshot is made: a VM that missed fewer catches up without the snapshot. */
+/** Maximum history kept with a new snapshot, in records and in characters; a VM that missed fewer records needs no snapshot to catch up. */
 export const maxKeptRecords = 128;
 export const keptCharacters = 150_000;
 
@@ -37,13 +37,13 @@
 	records: z.array(changeRecordSchema),
 });
 
-/** Points to one shard; the revision is what its deletion names. */
+/** Reference to one shard; its deletion requires the revision. */
 export type ShardReference = z.infer<typeof shardReferenceSchema>;
 
 /** The value of the head key. */
 export type ConfigurationHead = z.infer<typeof headSchema>;
 
-/** What stands for a head that was never written. */
+/** Represents a head that was never written. */
 export const emptyHead: ConfigurationHead = {
 	format: 1, version: 0, snapshot: {version: 0, shards: []}, records: [],
 };
@@ -79,7 +79,7 @@
 	return decode(z.array(storedResourceSchema), 'malformed-shard', text);
 }
 
-/** Cuts all resources into shards that fit a value each. */
+/** Splits all resources into shards that each fit into one value. */
 export function encodeShards(resources: Iterable<StoredResource>): string[] {
 	const shards: string[] = [];
 	let parts: string[] = [];
@@ -103,12 +103,12 @@
 	return shards;
 }
 
-/** True if the history with the record fits the head. */
+/** True if these records fit into the head. */
 export function fitsHead(records: readonly ChangeRecord[]): boolean {
 	return records.length <= maxHistoryRecords && JSON.stringify(records).length <= historyCharacters;
 }
 
-/** The latest records that may stay when a snapshot is made. */
+/** The latest records, within the limits that apply with a new snapshot. */
 export function trimRecords(records: readonly ChangeRecord[]): ChangeRecord[] {
 	const kept: ChangeRecord[] = [];
 	let size = 0;
--- a/src/common/fleet/configuration/plan-change.ts
+++ b/src/common/fleet/configuration/plan-change.ts
@@ -1,4 +1,4 @@
-/** Decides whether an operator's change fits the configuration it meets, and what it comes to. */
+/** Validates an operator's change against a configuration and computes the record that the change adds. */
 import {err, ok, type Result} from 'neverthrow';
 import {failure} from '../../errors/failure.ts';
 import {type ResourceKey, resourceKey, type StoredResource} from '../../model/resources.ts';
@@ -8,7 +8,7 @@
 } from '../types.ts';
 import {applyMutations, mutationKey} from './configuration-state.ts';
 
-/** The configuration that a change meets. */
+/** The configuration to which a change is applied. */
 export type ConfigurationView = {
 	readonly version: ConfigurationVersion;
 	readonly resources: ReadonlyMap<ResourceKey, StoredResource>;
@@ -61,13 +61,13 @@
 	}
 
 	if (!current) {
-		return err(refused('not-found', `There is no ${key} to delete.`, key));
+		return err(refused('not-found', `The resource ${key} cannot be deleted because it does not exist.`, key));
 	}
 
 	return ok({type: 'delete', kind: current.resource.kind, name: current.resource.name});
 }
 
-/** What stands after the change must hang together: no backend server or rule without its service. */
+/** Checks references after the change: every backend server and sharing rule needs its service. */
 function checkReferences(view: ConfigurationView, record: ChangeRecord): OperatorAnswer | undefined {
 	const after = new Map(view.resources);
 	applyMutations(after, record);
@@ -94,7 +94,7 @@
 	return undefined;
 }
 
-/** The record that the change would add, or the answer to its operator. */
+/** Returns the record that the change adds, or the negative answer to the operator. */
 export function planChange(view: ConfigurationView, change: OperatorChange): Result<ChangeRecord, OperatorAnswer> {
 	if (change.mutations.length === 0) {
 		return err(refused('empty-change', 'The change names no resource.'));
--- a/src/common/fleet/contact.ts
+++ b/src/common/fleet/contact.ts
@@ -1,12 +1,12 @@
 /**
- * Whether this VM still learns what is accepted elsewhere. Without the platform's service and without peers it
- * can't know; after a pause it doesn't know yet; and one that hears of a newer version but can't get it acts on
- * an old one. In each case callers are better served by another VM.
+ * Detects whether this VM may have missed accepted configuration changes. It may have if it has no contact with the
+ * platform's service or any peer, if it has just resumed after a pause, or if it has seen a newer version that it cannot
+ * fetch. In each case another VM serves callers better.
  */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type FleetContext} from './fleet-context.ts';
 
-/** An accepted configuration is to be in force everywhere within 5 s; so long a VM may go without an update. */
+/** Longest time without contact, or behind a newer version, because an accepted configuration must be in force on all VMs within 5 s. */
 const maxContactAgeMilliseconds: Milliseconds = 5000;
 
 export class ContactMonitor {
@@ -24,7 +24,7 @@
 		return this._isCutOff;
 	}
 
-	/** A message from a peer, and what it says of its own contact with the platform's service. */
+	/** Records a message from a peer and the age of that peer's own contact with the platform's service. */
 	recordPeerContact(identity: string, storeContactAgeMilliseconds: Milliseconds | undefined): void {
 		const {now} = this._context;
 		this._peerContactAt = now;
@@ -33,7 +33,7 @@
 		}
 	}
 
-	/** Time in which the clock stood still: nothing heard before counts as recent. */
+	/** Discards all contact times after a suspension, during which the monotonic clock stood still. */
 	handleSuspension(): void {
 		this._peerContactAt = undefined;
 		this._context.storeContactAt = undefined;
@@ -43,12 +43,12 @@
 		this._storeContacts.delete(identity);
 	}
 
-	/** Whether one of these VMs reached the platform's service after `since`. */
+	/** Whether one of these VMs had contact with the platform's service after `since`. */
 	hasStoreContactSince(identities: Iterable<string>, since: Instant): boolean {
 		return [...identities].some(identity => (this._storeContacts.get(identity) ?? Number.NEGATIVE_INFINITY) > since);
 	}
 
-	/** Judges anew; true if the verdict has changed. A VM that was cut off must first be up to date again. */
+	/** Updates `isCutOff`; true if it changed. A VM that was cut off stays so until its configuration is up to date. */
 	update(isBehind: boolean): boolean {
 		const {now, storeContactAt} = this._context;
 		this._behindSince = isBehind ? this._behindSince ?? now : undefined;
--- a/src/common/fleet/fleet-context.ts
+++ b/src/common/fleet/fleet-context.ts
@@ -1,13 +1,12 @@
-/** What the parts of the fleet engine share: the present instant, the effects, timers and store requests. */
+/** State shared by the components of one fleet engine: current instant, effects, timers and store requests. */
 import {type Instant, type RandomSource} from '../model/units.ts';
 import {type StoreOperation, type StoreReply} from '../platform/types.ts';
 import {type FleetEffect, type FleetSettings, type HashFunction} from './types.ts';
 import {Timers} from './timers.ts';
 
-/** Takes a reply; `sentAt` is the instant at which the request went out, from which leases count. */
+/** Handles a reply; `sentAt` is the instant at which the request was sent, from which leases count. */
 export type ReplyHandler = (reply: StoreReply, sentAt: Instant) => void;
 
-/** Shared by the parts of one engine. */
 export class FleetContext {
 	private _effects: FleetEffect[] = [];
 	private _nextRequestId = 1;
@@ -16,7 +15,7 @@
 	readonly timers: Timers;
 	/** Instant of the event that is being handled. */
 	now: Instant = 0;
-	/** Latest instant at which the platform's service answered anything; undefined = never. */
+	/** Instant of the latest reply from the platform's service; undefined = none yet. */
 	storeContactAt: Instant | undefined;
 	storeCalls = 0;
 
@@ -38,14 +37,14 @@
 		});
 	}
 
-	/** Hands over the effects gathered since the last call. */
+	/** Returns and clears the effects emitted since the last call. */
 	takeEffects(): readonly FleetEffect[] {
 		const effects = this._effects;
 		this._effects = [];
 		return effects;
 	}
 
-	/** Asks the platform's service; the adapter answers every request once, `unknown` at worst. */
+	/** Sends a request to the platform's service; the adapter replies to every request once, with `unknown` if the outcome is uncertain. */
 	requestStore(operation: StoreOperation, onReply: ReplyHandler): void {
 		const requestId = this._nextRequestId;
 		this._nextRequestId += 1;
@@ -54,7 +53,7 @@
 		this.emit({type: 'store', requestId, operation});
 	}
 
-	/** Hands a reply to whoever asked; a second reply to the same request is dropped. */
+	/** Passes a reply to the request's handler; a second reply to the same request is dropped. */
 	handleReply(requestId: number, reply: StoreReply): void {
 		const pending = this._pending.get(requestId);
 		this._pending.delete(requestId);
@@ -69,12 +68,12 @@
 		pending.onReply(reply, pending.sentAt);
 	}
 
-	/** A span around `milliseconds` (0.75 to 1.25 of it), so that VMs started together do not act together. */
+	/** A random duration of 0.75 to 1.25 times `milliseconds`, so that VMs that started together do not act in step. */
 	jitter(milliseconds: number): number {
 		return milliseconds * (0.75 + (0.5 * this.random.next()));
 	}
 
-	/** Up to `count` members of the list, in random order, without repetition. */
+	/** Up to `count` distinct elements of the list, in random order. */
 	pick<T>(list: readonly T[], count: number): T[] {
 		const rest = [...list];
 		const picked: T[] = [];
--- a/src/common/fleet/fleet-coordinator.ts
+++ b/src/common/fleet/fleet-coordinator.ts
@@ -1,4 +1,4 @@
-/** The fleet engine: hands each event to the part that decides on it, and ties the parts together. */
+/** The fleet engine: dispatches each event to the component that handles it, and connects the components. */
 import {type FleetShares} from '../calls/types.ts';
 import {type ResourceKey, type StoredResource} from '../model/resources.ts';
 import {type Instant, type RandomSource} from '../model/units.ts';
@@ -25,19 +25,19 @@
 	type AddressAnswer, type ChangeSummary, type FleetEffect, type FleetEngine, type FleetEvent, type FleetSettings, type FleetStatus, type HashFunction,
 } from './types.ts';
 
-/** A timer this late means that the process did not run: stopped, starved or suspended. */
+/** A timer that fires this late shows that the process did not run: it was stopped, suspended or got no CPU time. */
 const pauseThresholdMilliseconds = 1500;
 
-/** Longest time between ticks; also how late a pause is noticed. */
+/** Interval between ticks, and so the longest delay until a pause of the process is detected. */
 const tickMilliseconds = 1000;
 
-/** Peers that a sign of leaving is pushed to by each VM at its first receipt; as for changes, 4 reach all but about 2%. */
+/** Number of peers to which each VM pushes a leaving sign when it first receives it; as with changes, 4 reach all VMs but about 2%. */
 const leavingSignPushTargets = 4;
 
-/** Peers told at once that this VM leaves: all of today's fleet; at the target size rumours carry it on. */
+/** Number of peers notified at once that this VM is leaving: all VMs of today's fleet. At the target size, rumours reach the rest. */
 const leaveAnnouncementTargets = 16;
 
-/** Load updates of a moment go out together. */
+/** Load updates that arrive within this time are sent in one batch. */
 const loadUpdateBatchMilliseconds = 100;
 const loadUpdateTargets = 2;
 
@@ -64,7 +64,7 @@
 	private _maxWindowMilliseconds = 0;
 	private _shares: FleetShares | undefined;
 	private _serviceLoads: ReadonlyMap<string, number> = new Map();
-	/** The platform's list has shown this very process as live; before that "leaving" may mean a former one. */
+	/** True once the platform's list has shown this process as live; until then, "leaving" may refer to its predecessor under the same address. */
 	private _wasListedLive = false;
 
 	constructor(settings: FleetSettings, random: RandomSource, hash: HashFunction) {
@@ -162,7 +162,7 @@
 	}
 
 	resources(): readonly StoredResource[] {
-		// Sorted once a version: at 20,000 resources that takes some 5 ms, in which calls wait.
+		// Sorted once per version: sorting 20,000 resources takes about 5 ms, during which no call is served.
 		const {version, resources} = this._state;
 		if (this._sortedResources.version !== version) {
 			const keys = [...resources.keys()].toSorted((a, b) => (a < b ? -1 : 1));
@@ -255,7 +255,7 @@
 			}
 
 			default:
-				// Frames of the registry feed are for a fleet that the store leads; this one learns from its peers' messages.
+				// Events of the registry feed belong to the store-led engine; this engine gets the same data from peer messages.
 		}
 	}
 
@@ -274,21 +274,21 @@
 	}
 
 	/**
-	 * Guard: a process that did not run for a while holds old leases, old updates of peers and overdue timers. It
-	 * shows as timers that are late all at once. Rights end by their own instants; probes are judged anew here;
-	 * the contact's age ends the trust in the configuration before anything else is decided.
+	 * Guards against acting on outdated state after a pause of the process, when leases, peer updates and timers are
+	 * overdue. A pause shows in timers that are all late at once. Leases expire by their own instants; pending probes are
+	 * reset here; and contact is checked first, so that an outdated configuration is not used for any other decision.
 	 */
 	private _detectPause(now: Instant): void {
 		const due = this._context.timers.next();
 		if (due !== undefined && now - due > pauseThresholdMilliseconds) {
 			this._context.now = now;
-			this._context.log('warn', 'This process did not run for a while', {milliseconds: Math.round(now - due)});
+			this._context.log('warn', 'the process did not run for a while; probes and contact are checked again', {milliseconds: Math.round(now - due)});
 			this._prober.resetAfterPause();
 			this._checkContact();
 		}
 	}
 
-	/** Guard: the list lags; "leaving" under this address may mean the process before this one. */
+	/** Guards against the lag of the platform's list: "leaving" under this VM's address may still refer to the previous process. */
 	private _handleVmList(vms: readonly ListedVm[]): void {
 		const {defaultPeerPort, peerAddress} = this._context.settings;
 		const listed = vms.map(vm => ({address: vm.address.includes(':') ? vm.address : `${vm.address}:${defaultPeerPort}`, state: vm.state}));
@@ -324,7 +324,7 @@
 		}
 	}
 
-	/** A step forward of the configuration: in force here at once and as a whole, and passed on. */
+	/** Applies a new configuration version to this VM atomically, and pushes it to peers. */
 	private _applyConfiguration(): void {
 		const configuration = this._state.callConfiguration();
 		this._maxWindowMilliseconds = Math.max(0, ...[...configuration.services.values()].map(({measuring}) => measuring.windowMilliseconds));
@@ -335,7 +335,7 @@
 		this._configurationExchange.push();
 	}
 
-	/** What follows from the state as it is now, whichever part changed it. */
+	/** Updates everything that is derived from the components' state; runs after every event. */
 	private _updateDerivedState(): void {
 		this._membership.updateOwn({isServing: this._lifecycle.stage === 'serving', holdsShare: this._shareHolder.slot !== undefined});
 		this._configurationReader.setWatching(this._memberView().isWatcher);
@@ -347,7 +347,7 @@
 		if (this._contactMonitor.update(this._configurationExchange.newestKnown > this._state.version)) {
 			const {isCutOff} = this._contactMonitor;
 			this._context.emit({type: 'cut-off', isCutOff});
-			this._context.log('warn', isCutOff ? 'Cut off: the configuration may be old' : 'In contact again', {version: this._state.version});
+			this._context.log('warn', isCutOff ? 'cut off: the configuration may be out of date' : 'in contact again; the configuration is up to date', {version: this._state.version});
 		}
 	}
 
@@ -367,11 +367,15 @@
 		}
 	}
 
-	/** Without a configuration every VM asks for itself; later only the few that rendezvous hashing names. */
+	/** Estimated number of VMs that serve callers, this VM included. */
 	private _vmCount(): number {
 		return this._memberView().serving.length + 1;
 	}
 
+	/**
+	 * Whether another VM may have claimed a share slot after `since`. True if a live member has reached the platform's
+	 * service since then, or if members exist but none is live to report it.
+	 */
 	private _mayOthersClaim(since: Instant): boolean {
 		const live = this._membership.live.map(({record}) => record.identity);
 		return live.length === 0 ? this._membership.hasOthers : this._contactMonitor.hasStoreContactSince(live, since);
--- a/src/common/fleet/fleet-report.ts
+++ b/src/common/fleet/fleet-report.ts
@@ -1,4 +1,4 @@
-/** What a VM can tell operators about the fleet: who is there, who acts on which version, and the history. */
+/** Reports the fleet to operators as this VM sees it: members, the configuration version of each, and the change history. */
 import {type Instant} from '../model/units.ts';
 import {type ConfigurationState, mutationKey} from './configuration/configuration-state.ts';
 import {type FleetContext} from './fleet-context.ts';
@@ -8,7 +8,7 @@
 	type ChangeSummary, type FleetCounters, type FleetStatus, type MemberState, type MemberStatus,
 } from './types.ts';
 
-/** What the report takes from other parts. */
+/** Values that the report takes from other components. */
 export type ReportInput = Pick<FleetStatus, 'stage' | 'isCutOff' | 'newestKnownVersion' | 'isWatchingStore' | 'shareSlot' | 'shares' | 'leavingSigns'>
 	& Pick<FleetCounters, 'messagesSent' | 'messagesReceived'>;
 
@@ -44,7 +44,7 @@
 		};
 	}
 
-	/** Newest first. */
+	/** The latest changes, newest first. */
 	history(limit: number): readonly ChangeSummary[] {
 		const members = [this._membership.own, ...[...this._membership.members.values()].filter(({verdict}) => verdict !== 'dead').map(({record}) => record)];
 		return this._state.records.slice(-limit).toReversed().map(({
--- a/src/common/fleet/leaving/leaving-signs.ts
+++ b/src/common/fleet/leaving/leaving-signs.ts
@@ -1,44 +1,44 @@
 /**
- * Signs that backend servers leave, on their way to all VMs. The first sign that any VM has is pushed at once and
- * passed on by each VM at its first receipt; it needs no store, so an outage does not hold it up.
+ * Stores and spreads leaving signs, the evidence that a process of a backend server is shutting down. The first VM with a
+ * sign pushes it at once, and each VM passes it on when it first receives it. This needs no store, so it works in an outage.
  */
 import {type Instant, type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
 import {type LeavingRumour} from '../peer-messages.ts';
 import {type LeavingSign} from '../types.ts';
 
-/** Largest number of signs kept; each is about 100 bytes. Past it the oldest goes: its server was told of long ago. */
+/** Maximum number of signs; each takes about 100 bytes. Beyond it the oldest is removed, which has long reached all VMs. */
 const maxSigns = 10_000;
 
-/** A sign not renewed for so long is forgotten; a server that still leaves says so on each answer. */
+/** A sign expires after this time; a server that is still leaving marks each of its responses, which adds a new sign. */
 const signTtlMilliseconds: Milliseconds = 600_000;
 
 /**
- * A sign that names no process could bind a later one under the same resource. It holds only this long:
- * enough for every VM to stop new work, short enough for a server that returned at once.
+ * Lifetime of a sign without a process identity, which could wrongly apply to a later process of the same resource. It is
+ * long enough for every VM to stop assigning calls, and short enough for a server that returns at once.
  */
 const instancelessSignTtlMilliseconds: Milliseconds = 15_000;
 
-/** Sends of one sign on probes, after the first push. */
+/** How often one sign is sent on probes and other rumour messages. */
 const maxSends = 10;
 
-/** Older signs reach a VM that was away so long with its join; about them VMs may differ for good. */
+/** Age up to which signs count in the digest. A VM that was away for longer gets older signs with its join, and the VMs may differ in them permanently. */
 const digestWindowMilliseconds: Milliseconds = 60_000;
 const digestModulus = 2_147_483_647;
 
-/** How late the words of a process that has gone may come in: longer than any way through the fleet. */
+/** Longest delay of a report from a process that has ended; exceeds any path through the fleet. */
 const maxReportDelayMilliseconds: Milliseconds = 1000;
 
-/** Replaced processes remembered for each resource: more restarts than this within a sign's lifetime are rare. */
+/** Replaced processes stored for each resource; more restarts than this within a sign's lifetime are rare. */
 const maxReplacedInstances = 4;
 
 type Sign = {readonly sign: LeavingSign; readonly firstSeenAt: Instant; sendCount: number};
 
 export class LeavingSigns {
 	private readonly _signs = new Map<string, Sign>();
-	/** The process last seen not leaving: a sign for another one comes from before its start. */
+	/** For each resource, the process last seen not leaving; a peer's sign for another process predates its start. */
 	private readonly _returnedInstances = new Map<string, string>();
-	/** Processes that left and were replaced, the latest last: a VM that was away may still tell of them. */
+	/** For each resource, the processes that left and were replaced, the latest last; a VM that was away may still send signs for them. */
 	private readonly _replacedInstances = new Map<string, readonly string[]>();
 	private readonly _onNewSign: (sign: LeavingSign) => void;
 
@@ -51,12 +51,12 @@
 		return [...this._signs.values()].map(({sign}) => sign);
 	}
 
-	/** A sign seen by this VM or told by another; `ageMilliseconds` since the first. */
+	/** Adds a sign seen by this VM or received from another; `ageMilliseconds` is the time since the sign was first seen. */
 	add(sign: LeavingSign, ageMilliseconds: Milliseconds): void {
 		this._removeExpired();
 		const key = this._key(sign);
 		const returned = this._returnedInstances.get(sign.identity);
-		// Guard: an old sign of a server that has come back as a new process must not stop the new one.
+		// Guards the new process of a returned server against signs for its previous processes.
 		const isReplaced = sign.instance !== undefined && this._replacedInstances.get(sign.identity)?.includes(sign.instance) === true;
 		const isOld = sign.source === 'peer' && (isReplaced || (returned !== undefined && sign.instance !== returned));
 		if (isOld || this._signs.has(key) || ageMilliseconds > this._ttl(sign)) {
@@ -73,9 +73,9 @@
 	}
 
 	/**
-	 * A report from a process that does not leave: signs of other processes of this resource are void. Guard: the
-	 * last words of a forerunner come late; taken for a return they would void the sign of the one that leaves now.
-	 * So a report counts only if it was made well after the sign.
+	 * Handles a report of a process that is not leaving: it voids the signs for other processes of the resource. A late
+	 * report of a previous process must not void the sign for the process that is leaving now, so a report counts only if
+	 * it was made at least `maxReportDelayMilliseconds` after the sign.
 	 */
 	handleReturn(identity: string, instance: string, ageMilliseconds: Milliseconds): void {
 		const madeAt = this._context.now - ageMilliseconds;
@@ -91,7 +91,7 @@
 		}
 	}
 
-	/** Drops what belongs to resources that are no longer declared. */
+	/** Removes the state of resources that are no longer declared. */
 	retainDeclared(isDeclared: (identity: string) => boolean): void {
 		for (const [key, {sign}] of this._signs) {
 			if (!isDeclared(sign.identity)) {
@@ -107,7 +107,7 @@
 		}
 	}
 
-	/** Signs worth sending, the least sent first. */
+	/** Signs below the send limit, the least sent first. Counts them as sent. */
 	nextRumours(limit: number): LeavingRumour[] {
 		this._removeExpired();
 		const pending = [...this._signs.values()].filter(({sendCount}) => sendCount < maxSends).toSorted((a, b) => a.sendCount - b.sendCount).slice(0, limit);
@@ -117,13 +117,13 @@
 		});
 	}
 
-	/** The latest signs, for a VM that was not there when they went round. */
+	/** The latest signs, for a VM that was away when they were spread. */
 	latest(limit: number): LeavingRumour[] {
 		this._removeExpired();
 		return [...this._signs.values()].slice(-limit).map(entry => this._rumour(entry));
 	}
 
-	/** The same on two VMs that know the same signs of the last minute; a difference is settled by telling all. */
+	/** Digest of the signs of the last minute: equal on two VMs with the same signs. VMs whose digests differ exchange all signs. */
 	digest(): number {
 		const recent = [...this._signs].filter(([, {firstSeenAt}]) => this._context.now - firstSeenAt < digestWindowMilliseconds);
 		let sum = 0;
--- a/src/common/fleet/leaving/load-update-exchange.ts
+++ b/src/common/fleet/leaving/load-update-exchange.ts
@@ -1,17 +1,17 @@
-/** Shares what VMs learn of backend servers' load, so that one measurement serves many. Bounded in bytes and sends. */
+/** Spreads load reports and crashes of backend servers among the VMs, so that many VMs use one measurement. Bounded in bytes and sends. */
 import {type LoadUpdate} from '../../calls/types.ts';
 import {type Instant, type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
 
-/** Updates older than this is of no use to placing; crashes are kept longer, they must reach everybody. */
+/** Maximum age of reports, beyond which they are of no use for choosing a server, and of crashes, which must reach all VMs. */
 const maxReportAgeMilliseconds: Milliseconds = 2000;
 const maxCrashAgeMilliseconds: Milliseconds = 30_000;
 
-/** Sends of one piece: a report is told to a few by the VM that made it; a crash is passed on by all. */
+/** Sends of one update by each VM. Only the VM that made a report sends it, to a few others; a crash is passed on by every VM. */
 const maxReportSends = 3;
 const maxCrashSends = 8;
 
-/** Largest number of pieces kept: at about 150 bytes each well under a megabyte, whatever a storm brings. */
+/** Maximum number of updates kept; at about 150 bytes each they stay well under a megabyte under any load. */
 const maxEntries = 2000;
 
 type Entry = {readonly update: LoadUpdate; readonly madeAt: Instant; readonly maxSends: number; sendCount: number};
@@ -24,17 +24,17 @@
 		this._onUpdates = onUpdates;
 	}
 
-	/** True while some piece was never sent. */
+	/** True if an update has not been sent yet. */
 	get hasUnsent(): boolean {
 		return [...this._entries.values()].some(({sendCount}) => sendCount === 0);
 	}
 
-	/** What this VM's call engine has learnt. */
+	/** Adds an update from this VM's call engine. */
 	addOwn(update: LoadUpdate): void {
 		this._store(update, update.crash === undefined ? maxReportSends : maxCrashSends);
 	}
 
-	/** What a peer has told; a crash is passed on, a report is not. */
+	/** Handles updates from a peer: crashes are passed on to other VMs, reports are not. */
 	handlePeerUpdates(update: readonly LoadUpdate[]): void {
 		const newUpdates = update.filter(entry => !this._entries.has(this._key(entry)) || entry.crash === undefined);
 		for (const entry of newUpdates) {
@@ -48,7 +48,7 @@
 		}
 	}
 
-	/** Pieces worth sending, the least sent first, at most `characters` long in JSON. */
+	/** Updates below their send limit, the least sent first, at most `characters` long in JSON. Counts them as sent. */
 	nextUpdates(characters: number): LoadUpdate[] {
 		this._removeExpired();
 		const pending = [...this._entries.values()].filter(entry => entry.sendCount < entry.maxSends).toSorted((a, b) => a.sendCount - b.sendCount);
--- a/src/common/fleet/membership/member-views.ts
+++ b/src/common/fleet/membership/member-views.ts
@@ -1,18 +1,19 @@
-/** What follows from the members as a whole; made anew only when they change, as it goes through all of them. */
+/** Values derived from the whole member list. They are cached until the list changes, because building them visits every member. */
 import {type AddressCandidates} from '../addresses/address-book.ts';
 import {type FleetContext} from '../fleet-context.ts';
 import {type Member, type Membership} from './membership.ts';
 import {chooseByRank} from './rendezvous.ts';
 
-/** VMs of a data centre that watch the platform's service: one that reads, one should the first be gone. */
+/** VMs per data centre that watch the platform's service: one, and a second in case the first fails. */
 const watchersPerDataCentre = 2;
 
-/** The members of one moment. */
+/** Values derived from one revision of the member list. */
 export type MemberView = {
-	/** Other VMs that callers may be sent to. */
+	/** Other VMs that may be returned to callers. */
 	readonly serving: readonly Member[];
-	/** Whether this VM is one of the few that watch the platform's service. */
+	/** Whether this VM watches the platform's service. */
 	readonly isWatcher: boolean;
+	/** VMs that may be returned to callers, this VM included if it serves. */
 	readonly candidates: AddressCandidates;
 };
 
@@ -25,7 +26,7 @@
 		this._membership = membership;
 	}
 
-	/** @param isServing whether this VM itself may be named to callers */
+	/** @param isServing whether this VM itself may be returned to callers */
 	get(isServing: boolean): MemberView {
 		const {revision} = this._membership;
 		if (this._cached?.revision !== revision || this._cached.isServing !== isServing) {
@@ -35,7 +36,10 @@
 		return this._cached;
 	}
 
-	/** Without a configuration every VM asks for itself; later only the few that rendezvous hashing names watch. */
+	/**
+	 * Chooses the watchers by rendezvous hashing among this VM and the live members of its data centre that serve. While
+	 * none serves, because no VM has a configuration yet, every VM watches for itself.
+	 */
 	private _build(isServing: boolean): MemberView {
 		const {dataCentre, identity} = this._context.settings;
 		const membership = this._membership;
--- a/src/common/fleet/membership/membership.ts
+++ b/src/common/fleet/membership/membership.ts
@@ -1,39 +1,39 @@
 /**
- * Which VMs there are, as far as this one can tell, in the manner of SWIM (Das, Gupta, Motivala 2002): records
- * that only their owners raise, verdicts of others, rumours with a bounded number of sends. No promise rests
- * on this knowledge: it only ever is an estimate.
+ * Membership of the fleet by SWIM (Das, Gupta, Motivala 2002). Each VM alone increments the sequence of its own record;
+ * other VMs attach verdicts to that record; both spread as rumours, each sent a bounded number of times. The member list
+ * is only an estimate: no correctness guarantee may depend on it.
  */
 import {type Instant, type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
 import {type MemberRecord, type MemberUpdate, type PeerBody} from '../peer-messages.ts';
 import {type PeerAddress, type VmIdentity} from '../types.ts';
 
-/** From suspicion to death; time for a live VM to hear of it and refute. */
+/** A suspected member is declared dead after this time, in which a live VM can receive the suspicion and refute it. */
 const suspicionTimeoutMilliseconds: Milliseconds = 3000;
 
-/** Dead members are kept so long, to tell a late rumour from a new member; then forgotten. */
+/** Dead members are kept for this time, so that a late rumour about one is not mistaken for a new member. */
 const deadMemberRetentionMilliseconds: Milliseconds = 600_000;
 
-/** Others told at once when this VM refutes a verdict on itself. */
+/** Number of members notified at once when this VM refutes a verdict on itself. */
 const refutationTargets = 3;
 
 export type Verdict = MemberUpdate['verdict'];
 
-/** A VM as known here. */
+/** Another VM as recorded by this VM. */
 export type Member = {
 	record: MemberRecord;
 	verdict: Verdict;
-	/** When this VM last had a message from it. */
+	/** When this VM last received a message from the member, or else added it. */
 	lastMessageAt: Instant;
-	/** When the verdict was last changed. */
+	/** When the verdict was last set. */
 	verdictChangedAt: Instant;
-	/** Sends of the latest rumour about it; it is passed on until this reaches the limit. */
+	/** How often the latest rumour about the member was sent; it is sent until this count reaches the limit. */
 	sendCount: number;
 };
 
 const verdictSeverity: Readonly<Record<Verdict, number>> = {live: 0, suspected: 1, dead: 2};
 
-/** Largest number of members in one answer to a join; the rest follows by rumours. */
+/** Maximum number of members in one answer to a join; the others follow as rumours. */
 export const maxMembersInJoinAnswer = 256;
 
 export class Membership {
@@ -65,12 +65,12 @@
 		return this._own;
 	}
 
-	/** All known VMs but this one. */
+	/** All known VMs except this one. */
 	get members(): ReadonlyMap<VmIdentity, Member> {
 		return this._members;
 	}
 
-	/** Members that answer, leaving ones included. */
+	/** Members with the verdict `live`, including those that are leaving. */
 	get live(): readonly Member[] {
 		if (this._live.revision !== this._revision) {
 			this._live = {revision: this._revision, members: [...this._members.values()].filter(({verdict}) => verdict === 'live')};
@@ -79,17 +79,17 @@
 		return this._live.members;
 	}
 
-	/** Grows whenever a member comes, goes, is judged anew or says something new; not with utilisation alone. */
+	/** Increases whenever a member is added or removed, or its verdict or record changes. A change of utilisation alone does not count. */
 	get revision(): number {
 		return this._revision;
 	}
 
-	/** True if other VMs are known to exist that have not left in the planned way. */
+	/** True if another VM is known that has not announced a planned stop. */
 	get hasOthers(): boolean {
 		return [...this._members.values()].some(({record}) => !record.isLeaving);
 	}
 
-	/** Changes what this VM says of itself. Utilisation alone rides on messages and is no rumour. */
+	/** Updates this VM's own record. A change of utilisation alone is sent with the next messages, but is not spread as a rumour. */
 	updateOwn(change: Partial<MemberRecord>): void {
 		const changed = {...this._own, ...change};
 		const isNew = changed.isLeaving !== this._own.isLeaving || changed.isServing !== this._own.isServing
@@ -97,7 +97,7 @@
 		this._own = isNew ? {...changed, sequence: this._own.sequence + 1} : changed;
 	}
 
-	/** Any message is a sign of life of its sender. */
+	/** Records the sender of any message as live. */
 	handleSender(record: MemberRecord): void {
 		if (record.identity === this._own.identity) {
 			return;
@@ -119,7 +119,7 @@
 		known.record = record;
 		known.lastMessageAt = this._context.now;
 		if (hasAdverseVerdict) {
-			// It lives, but others were told otherwise. Told so, it raises its sequence, which refutes it everywhere.
+			// The member is alive, but a rumour says otherwise. On receiving that verdict it raises its sequence, which refutes the verdict on all VMs.
 			this._send(record.peerAddress, {type: 'rumours'});
 		}
 
@@ -128,14 +128,14 @@
 		}
 	}
 
-	/** Rumours that came with a message. */
+	/** Merges the rumours that came with a message. */
 	mergeUpdates(updates: readonly MemberUpdate[]): void {
 		for (const update of updates) {
 			this._mergeUpdate(update);
 		}
 	}
 
-	/** An unanswered probe: the member is suspected, and gets time to refute. */
+	/** Marks a live member as suspected after an unanswered probe; it is declared dead unless it refutes the suspicion in time. */
 	suspect(identity: VmIdentity): void {
 		const member = this._members.get(identity);
 		if (member?.verdict === 'live') {
@@ -143,7 +143,7 @@
 		}
 	}
 
-	/** Starts the time to refute anew for all that are suspected. */
+	/** Restarts the suspicion timeout of every suspected member. */
 	restartSuspicionTimeouts(): void {
 		for (const member of this._members.values()) {
 			if (member.verdict === 'suspected') {
@@ -152,7 +152,7 @@
 		}
 	}
 
-	/** Rumours worth sending, the least sent first, at most `characters` long in JSON. */
+	/** Rumours below the send limit, the least sent first, at most `characters` long in JSON. Counts them as sent. */
 	nextRumours(characters: number): MemberUpdate[] {
 		const limit = this._maxSends();
 		const pending = [...this._members.values()].filter(({sendCount}) => sendCount < limit).toSorted((a, b) => a.sendCount - b.sendCount);
@@ -172,19 +172,19 @@
 		return updates;
 	}
 
-	/** Everybody known, for a VM that joins. */
+	/** All members that are not dead, up to the limit, for a VM that joins. */
 	allUpdates(): MemberUpdate[] {
 		return [...this._members.values()].filter(({verdict}) => verdict !== 'dead').slice(0, maxMembersInJoinAnswer).map(({record, verdict}) => ({record, verdict}));
 	}
 
-	/** The verdict against the member at an address, which it should hear itself. */
+	/** Verdicts other than `live` on members at an address. They are sent to that member, which can refute them. */
 	verdictsAgainst(address: PeerAddress): MemberUpdate[] {
 		return [...this._members.values()]
 			.filter(({record, verdict}) => record.peerAddress === address && verdict !== 'live')
 			.map(({record, verdict}) => ({record, verdict}));
 	}
 
-	/** A rumour reaches all of n members with high probability after a multiple of log2(n) sends by each. */
+	/** Sends per rumour: it reaches all of n members with high probability if each sends it a multiple of log2(n) times. */
 	private _maxSends(): number {
 		return 2 * Math.ceil(Math.log2(this._members.size + 2));
 	}
@@ -215,18 +215,18 @@
 		}
 	}
 
-	/** Guard against a false verdict on this very VM: a higher sequence is its word that it lives. */
+	/** Guards against a false verdict on this VM: a record with a higher sequence overrides the verdict on all VMs. */
 	private _refute(record: MemberRecord, verdict: Verdict): void {
 		if (verdict !== 'live' && record.sequence >= this._own.sequence) {
 			this._own = {...this._own, sequence: record.sequence + 1};
-			this._context.log('warn', 'Others took this VM for unreachable', {verdict});
+			this._context.log('warn', 'another VM took this VM for unreachable; the verdict is refuted', {verdict});
 			for (const member of this._context.pick(this.live, refutationTargets)) {
 				this._send(member.record.peerAddress, {type: 'rumours'});
 			}
 		}
 	}
 
-	/** A new process under a member's address: the former one has ended. */
+	/** A new process under a member's address shows that the previous process has ended. */
 	private _markPreviousProcessDead(record: MemberRecord): void {
 		for (const member of this._members.values()) {
 			if (member.record.peerAddress === record.peerAddress && member.record.identity !== record.identity && member.verdict !== 'dead') {
@@ -247,7 +247,7 @@
 
 	private _setVerdict(member: Member, verdict: Verdict): void {
 		if (member.verdict !== verdict) {
-			this._context.log(verdict === 'live' ? 'info' : 'warn', 'A member changed state', {member: member.record.identity, address: member.record.peerAddress, verdict});
+			this._context.log(verdict === 'live' ? 'info' : 'warn', 'the state of a member changed', {member: member.record.identity, address: member.record.peerAddress, verdict});
 		}
 
 		this._revision += 1;
--- a/src/common/fleet/membership/prober.ts
+++ b/src/common/fleet/membership/prober.ts
@@ -1,6 +1,6 @@
 /**
- * Finds out which members answer, as SWIM does: each VM probes one other at a time, so what a VM spends on it
- * does not grow with the fleet. Also looks for members at addresses that no known member holds.
+ * Failure detector in the manner of SWIM: each VM probes one member at a time, so its cost does not grow with the size of
+ * the fleet. It also sends joins to known addresses at which no live member is recorded.
  */
 import {type Instant, type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
@@ -8,19 +8,19 @@
 import {type PeerAddress, type VmIdentity} from '../types.ts';
 import {type Member, type Membership} from './membership.ts';
 
-/** One probe each half second: 2 messages a second out and about 2 back, whatever the size of the fleet. */
+/** Interval between probes: 2 messages a second sent and about 2 received, whatever the size of the fleet. */
 const probeIntervalMilliseconds: Milliseconds = 500;
 
-/** Round trips take 1 to 3 ms; past this the probed VM is asked for through others. */
+/** A member that has not answered after this time is probed through other members. Round trips take 1 to 3 ms. */
 const directProbeTimeoutMilliseconds: Milliseconds = 250;
 
-/** Others asked to probe in our stead: a cut between two VMs only must not look like a death. */
+/** Members that send an indirect probe, so that a network fault between two VMs alone does not look like a failed VM. */
 const indirectProbeCount = 2;
 
-/** A relayed probe that nobody answered is forgotten after this. */
+/** An unanswered relayed probe is discarded after this time. */
 const relayedProbeRetentionMilliseconds: Milliseconds = 3000;
 
-/** Addresses that answer nobody's probes are tried for members this often: cuts heal, seeds come up. */
+/** Interval between joins sent to addresses without a live member: network faults heal and seeds may start later. */
 const joinIntervalMilliseconds: Milliseconds = 2000;
 const joinTargets = 3;
 
@@ -47,7 +47,7 @@
 		this._scheduleProbe();
 	}
 
-	/** Addresses from the platform's list: a hint of whom to ask, no word on who lives. */
+	/** Sets the addresses from the platform's list. They are join targets only; the list does not show which VMs are alive. */
 	setListedAddresses(addresses: readonly PeerAddress[]): void {
 		this._listedAddresses.clear();
 		for (const address of addresses) {
@@ -88,7 +88,7 @@
 		}
 	}
 
-	/** A message could not be delivered: ask others at once in place of waiting. */
+	/** Starts the indirect probe at once, because a message to the probed member could not be delivered. */
 	handleUnreachable(to: PeerAddress): void {
 		if (this._probe?.address === to) {
 			this._probeIndirectly(this._probe.nonce);
@@ -96,8 +96,8 @@
 	}
 
 	/**
-	 * Guard: after a pause of this VM every probe looks unanswered and every suspicion overdue. Without this it
-	 * would call the whole fleet dead on waking. What was pending is forgotten and judged anew.
+	 * Guards against declaring the whole fleet dead after a pause of this VM, when the pending probe looks unanswered and
+	 * every suspicion overdue. Discards the pending probe and restarts the suspicion timeouts.
 	 */
 	resetAfterPause(): void {
 		this._probe = undefined;
@@ -138,7 +138,7 @@
 		});
 	}
 
-	/** Round robin in a random order, so that every member is probed once before any is probed twice. */
+	/** Round robin in random order: every member is probed once before any is probed twice. */
 	private _nextTarget(): Member | undefined {
 		for (let attemptsLeft = this._probeOrder.length + 1; attemptsLeft > 0; attemptsLeft -= 1) {
 			const identity = this._probeOrder.shift();
--- a/src/common/fleet/membership/rendezvous.ts
+++ b/src/common/fleet/membership/rendezvous.ts
@@ -1,6 +1,6 @@
-/** Rendezvous hashing (Thaler and Ravishankar 1998): all who know the same members choose the same ones, with no word between them. */
+/** Rendezvous hashing (Thaler and Ravishankar 1998): VMs with the same member list choose the same members without communication. */
 
-/** The `count` members of highest rank. */
+/** Returns the `count` members with the highest rank. */
 export function chooseByRank(members: readonly string[], count: number, rank: (member: string) => number): readonly string[] {
 	return members
 		.map(member => ({member, rank: rank(member)}))
--- a/src/common/fleet/peer-mailbox.ts
+++ b/src/common/fleet/peer-mailbox.ts
@@ -1,4 +1,4 @@
-/** Puts messages to other VMs together: who sends, what, and the rumours that ride along within a limit of bytes. */
+/** Builds and sends messages to other VMs: the sender's record, a body, and piggybacked rumours and load updates of limited size. */
 import {type FleetContext} from './fleet-context.ts';
 import {type LeavingSigns} from './leaving/leaving-signs.ts';
 import {type LoadUpdateExchange} from './leaving/load-update-exchange.ts';
@@ -7,15 +7,15 @@
 import {type PeerAddress} from './types.ts';
 
 /**
- * Limits on what rides along, in characters of JSON (more than the bytes on the wire). About 4 messages a second
- * go out, so rumours cost at most 10 KB a second in a storm; the rest waits for the next message.
+ * Limits on piggybacked data, in characters of JSON (which exceed the bytes on the wire) or in leaving signs. With about
+ * 4 messages a second, rumours cost at most 10 KB a second under any load; the rest waits for the next message.
  */
 const maxMemberCharacters = 1200;
 const maxLoadUpdateCharacters = 1000;
 const maxLeavingSigns = 8;
 const maxLeavingSignsInAnswer = 512;
 
-/** VMs that differ tell each other all signs at most this often: while a sign spreads, all differ for a moment. */
+/** Minimum interval between full exchanges of leaving signs with one peer. Digests differ briefly across the fleet while a sign spreads. */
 const leavingSyncIntervalMilliseconds = 1000;
 
 const rumourCarriers: ReadonlySet<PeerBody['type']> = new Set(['ping', 'ping-answer', 'rumours', 'members']);
@@ -35,7 +35,6 @@
 		this._loadUpdates = loadUpdates;
 	}
 
-	/** Sends one message. */
 	readonly send = (to: PeerAddress, body: PeerBody): void => {
 		const {now, storeContactAt} = this._context;
 		const isCarrier = rumourCarriers.has(body.type);
@@ -54,8 +53,8 @@
 	};
 
 	/**
-	 * Guard: rumours go out a few times only, so a VM that was paused or cut off meanwhile would never hear of a
-	 * server that left; it would give it work. Whoever hears another digest than its own tells all it knows.
+	 * Guards a VM that was paused or cut off against sending calls to a leaving backend server: rumours are sent only a few
+	 * times, so it may have missed the sign. A VM that receives a digest other than its own sends all its signs back.
 	 */
 	syncLeavingSigns(from: PeerAddress, digest: number | undefined): void {
 		const timer = `leaving-${from}`;
@@ -69,7 +68,7 @@
 		this._isSendingAllSigns = false;
 	}
 
-	/** Sends what can't wait for the next probe to some live members. */
+	/** Sends pending rumours to some live members at once, without waiting for the next probe. */
 	push(targets: number): void {
 		for (const {record} of this._context.pick(this._membership.live, targets)) {
 			this.send(record.peerAddress, {type: 'rumours'});
@@ -77,8 +76,8 @@
 	}
 
 	/**
-	 * Guard: rumours go out a few times only, so a VM that joins later would never hear of a server that left
-	 * before; it would give it work. It gets all signs with the members.
+	 * Guards a VM that joins late against sending calls to a leaving backend server: rumours are sent only a few times, so
+	 * it would never receive an earlier sign. The answer to a join holds all signs, up to the limit.
 	 */
 	private _leaving(body: PeerBody): PeerMessage['leaving'] {
 		return body.type === 'members' || this._isSendingAllSigns ? this._leavingSigns.latest(maxLeavingSignsInAnswer) : this._leavingSigns.nextRumours(maxLeavingSigns);
--- a/src/common/fleet/peer-receiver.ts
+++ b/src/common/fleet/peer-receiver.ts
@@ -1,4 +1,4 @@
-/** Hands a message of another VM to the parts that it concerns. */
+/** Dispatches a message from another VM to the components that handle its contents. */
 import {type ConfigurationExchange} from './configuration/configuration-exchange.ts';
 import {type ContactMonitor} from './contact.ts';
 import {type LeavingSigns} from './leaving/leaving-signs.ts';
@@ -10,7 +10,7 @@
 import {type ShareHandover} from './shares/share-handover.ts';
 import {type VmIdentity} from './types.ts';
 
-/** The parts that messages concern. */
+/** Components that handle the contents of peer messages. */
 export type ReceiverParts = {
 	readonly sender: PeerSender;
 	readonly membership: Membership;
@@ -31,7 +31,7 @@
 		this._parts = parts;
 	}
 
-	/** Takes what rides along first: it may decide how the body is seen. */
+	/** Handles the sender and the piggybacked data before the body, because the body's handling may depend on them. */
 	handle(message: PeerMessage): void {
 		const {sender} = message;
 		if (sender.identity === this._parts.ownIdentity) {
@@ -122,7 +122,7 @@
 
 			case 'members':
 			case 'rumours': {
-				// What these carry rides along with every message and was taken above.
+				// These messages have no content besides the piggybacked data, which is handled above.
 				break;
 			}
 		}
--- a/src/common/fleet/shares/share-handover.ts
+++ b/src/common/fleet/shares/share-handover.ts
@@ -1,4 +1,4 @@
-/** A planned stop hands the share slot to another VM, also in an outage of the store: offer, acceptance, grant. */
+/** Hands the share slot to another VM in a planned stop, by offer, acceptance and grant. Needs no store, so it works in an outage. */
 import {type Instant, type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
 import {type Membership} from '../membership/membership.ts';
@@ -6,10 +6,10 @@
 import {type PeerAddress} from '../types.ts';
 import {type ShareHolder} from './share-holder.ts';
 
-/** An offer not accepted in this time goes to another VM. */
+/** If an offer is not accepted within this time, the slot is offered to another VM. */
 const offerTimeoutMilliseconds: Milliseconds = 300;
 
-/** VMs tried before the slot is released in place of handed over. */
+/** Number of offers after which the slot is released instead. */
 const maxOffers = 4;
 
 type Acceptance = {readonly nonce: number; readonly slot: number; readonly from: PeerAddress; readonly at: Instant};
@@ -31,7 +31,7 @@
 		this._send = send;
 	}
 
-	/** Finds a successor; calls back when the slot is given away or released. */
+	/** Offers the slot to other VMs; calls `onDone` when it has been handed over or released. */
 	begin(onDone: () => void): void {
 		this._onDone = onDone;
 		this._offerNext();
@@ -50,15 +50,15 @@
 	}
 
 	/**
-	 * Guard: the slot is given once. A late or repeated acceptance, from this or another VM, finds it gone; the
-	 * grant is sent after this VM's right has ended, so the two never overlap.
+	 * Guards against granting the slot twice: a late or repeated acceptance finds no slot to grant. The grant is sent after
+	 * this VM's right to use the slot has ended, so the two VMs' rights never overlap.
 	 */
 	handleAcceptance(from: MemberRecord, slot: number, nonce: number): void {
 		if (this._offeredTo !== from.peerAddress || this._holder.slot !== slot) {
 			return;
 		}
 
-		const grant = this._holder.giveUpForHandover();
+		const grant = this._holder.releaseForHandover();
 		if (grant) {
 			this._send(from.peerAddress, {
 				type: 'share-grant', ...grant, nonce, revision: 0,
@@ -68,7 +68,7 @@
 		this._finish();
 	}
 
-	/** Only the grant that answers the latest acceptance counts: an older one's time would be counted wrongly. */
+	/** Accepts only the grant for the latest acceptance; the remaining time of an older grant would be counted from the wrong instant. */
 	handleGrant(from: MemberRecord, grant: PeerBody & {readonly type: 'share-grant'}): void {
 		const acceptance = this._acceptance;
 		if (acceptance?.nonce !== grant.nonce || acceptance.from !== from.peerAddress || acceptance.slot !== grant.slot) {
--- a/src/common/fleet/shares/share-holder.ts
+++ b/src/common/fleet/shares/share-holder.ts
@@ -1,7 +1,7 @@
 /**
- * This VM's part of the fleet-wide budgets. The fleet has a fixed number of slots; a slot is claimed in the
- * platform's service under a lease. The rule that keeps the sum: a right ends by its holder's own monotonic
- * clock, counted from before the request that gave it; and the next holder waits a whole window after it.
+ * Claims and renews this VM's share of the fleet-wide budgets. Each budget is divided into a fixed number of slots; a VM
+ * claims a slot in the platform's service under a lease. Two rules keep the total within the budget: the holder counts
+ * the lease by its own monotonic clock from before it sent the request, and the next holder first waits a whole window.
  */
 import {type FleetShares} from '../../calls/types.ts';
 import {type Instant, type Milliseconds} from '../../model/units.ts';
@@ -10,36 +10,36 @@
 
 export const sharePrefix = 'jaydale/shares/slot-';
 
-/** Written before a slot's first use and never removed: its absence proves that nobody has spent in it. */
+/** Prefix of the keys that mark used slots. A mark is written before a slot's first use and never removed: its absence proves that no VM has used the slot. */
 export const usedPrefix = 'jaydale/shares/used-';
 
-/** Share of the lease's term not used: for clocks that run at different rates. */
+/** Fraction of the lease that the holder does not use, because clocks run at different rates. */
 const clockDriftMargin = 0.05;
 
-/** A measurement that the former holder sent at the last moment is on its way for at most this long. */
+/** Longest time in transit of a measuring call that the previous holder sent at the last moment. */
 const maxInFlightMilliseconds: Milliseconds = 500;
 
-/** Part of connections set aside for VMs without a slot: new ones in an outage, more VMs than slots. */
+/** Fraction of the connections reserved for VMs without a slot: those started in an outage, or in excess of the slots. */
 const reservedConnectionPart = 0.2;
 
 const initialRetryMilliseconds: Milliseconds = 500;
 const maxRetryMilliseconds: Milliseconds = 3000;
 
-/** A slot as held. */
+/** The slot that this VM holds. */
 type HeldSlot = {
 	readonly slot: number;
 	readonly leaseId: string;
-	/** End of the right to spend, by this VM's clock. */
+	/** End of the right to use the slot, by this VM's monotonic clock. */
 	expiresAt: Instant;
-	/** When the slot became this VM's; rights start after the quarantine. */
+	/** When this VM acquired the slot; it may be used after the waiting period, if one is needed. */
 	readonly acquiredAt: Instant;
 	readonly needsWaitingPeriod: boolean;
 };
 
-/** A lease granted to this VM for a slot it is about to claim. */
+/** A lease granted to this VM for the slot that it is about to claim. */
 type Lease = {readonly leaseId: string; readonly sentAt: Instant; readonly expiresAt: Instant};
 
-/** What is handed to a successor. */
+/** A slot with its lease, handed over to another VM. */
 export type ShareGrant = {
 	readonly slot: number;
 	readonly leaseId: string;
@@ -52,16 +52,16 @@
 	private _consecutiveFailures = 0;
 	private _isStopped = false;
 	private _isClaiming = false;
-	/** The slot to try first: the one lost in an outage, if nobody has taken it meanwhile. */
+	/** The slot to claim first if it is free: the one that this VM held last. */
 	private _preferredSlot: number | undefined;
-	/** Requests sent before this instant can't tell how much of a lease is left. */
+	/** End of the last suspension. Replies to requests sent before it do not show how much of a lease is left. */
 	private _suspensionEndedAt: Instant = Number.NEGATIVE_INFINITY;
 
 	constructor(
 		private readonly _context: FleetContext,
-		/** Estimate of VMs that serve, this one included. */
+		/** Estimated number of VMs that serve, this one included. */
 		private readonly _vmCount: () => number,
-		/** Whether others were heard to reach the platform's service after an instant, or nobody can be asked. */
+		/** Whether another VM may have claimed a slot after `since`: one has reached the platform's service, or none is live to report it. */
 		private readonly _mayOthersClaim: (since: Instant) => boolean,
 		maxWindowMilliseconds: () => Milliseconds,
 	) {
@@ -76,7 +76,7 @@
 		this._claim();
 	}
 
-	/** What may be spent now and when. */
+	/** The part of the budgets that this VM may use, and from when until when. */
 	current(): FleetShares {
 		const {now} = this._context;
 		const {shareSlots} = this._context.settings;
@@ -91,15 +91,15 @@
 		};
 	}
 
-	/** When `current` changes by itself. */
+	/** Next instant at which `current` changes without an event. */
 	nextChange(): Instant | undefined {
 		const heldSlot = this._heldSlot;
 		return heldSlot ? [this._usableFrom(heldSlot), heldSlot.expiresAt].find(at => at > this._context.now) : undefined;
 	}
 
 	/**
-	 * Guard: time in which this VM's clock stood still is time in which its lease ran on. It shows as two VMs
-	 * that spend one slot; so the rights end, and the lease is asked for before anything is spent again.
+	 * Guards against two VMs using one slot after a suspension, when this VM's clock stood still while its lease ran on.
+	 * The right to use the slot ends at once, and the lease must be renewed before the slot is used again.
 	 */
 	handleSuspension(): void {
 		this._suspensionEndedAt = this._context.now;
@@ -109,8 +109,8 @@
 		}
 	}
 
-	/** Gives the slot away: from now on nothing is spent here. Undefined if there is none to give. */
-	giveUpForHandover(): ShareGrant | undefined {
+	/** Stops using the slot and returns it for handover to another VM; undefined if this VM holds none. */
+	releaseForHandover(): ShareGrant | undefined {
 		const heldSlot = this._heldSlot;
 		this._isStopped = true;
 		if (!heldSlot) {
@@ -121,7 +121,7 @@
 		return {slot: heldSlot.slot, leaseId: heldSlot.leaseId, remainingMilliseconds: Math.max(0, heldSlot.expiresAt - this._context.now)};
 	}
 
-	/** Ends the lease at once, when no successor was found. The next holder waits its window all the same. */
+	/** Revokes the lease at once, if no VM accepts the slot. The next holder still waits a window. */
 	release(): void {
 		const heldSlot = this._heldSlot;
 		this._isStopped = true;
@@ -131,14 +131,14 @@
 		}
 	}
 
-	/** True if a slot handed over by another VM would be of use. */
+	/** True if this VM would accept a slot from another VM. */
 	get needsSlot(): boolean {
 		return !this._heldSlot && !this._isStopped;
 	}
 
 	/**
-	 * Takes a slot over. `acceptedAt` is the instant before the giver's grant was made, so that the remaining
-	 * time, counted from there, ends before the giver's own right would have.
+	 * Accepts a slot from another VM. `acceptedAt` lies before the instant at which that VM made the grant, so the remaining
+	 * time, counted from `acceptedAt`, ends before that VM's own right would have ended.
 	 */
 	acceptHandover(grant: ShareGrant, acceptedAt: Instant): void {
 		if (!this.needsSlot) {
@@ -155,8 +155,8 @@
 	}
 
 	/**
-	 * In an outage of the store nobody can claim the slot, so its connections stay this VM's. If others reach
-	 * the store, or nobody is left to tell, the slot may be someone else's by now.
+	 * Whether this VM keeps the slot's connections. In an outage of the store no VM can claim the slot, so it keeps them
+	 * after the lease has expired. If other VMs reach the store, or none is live to report it, another VM may hold the slot.
 	 */
 	private _mayKeepConnections(heldSlot: HeldSlot): boolean {
 		return this._context.now < heldSlot.expiresAt || !this._mayOthersClaim(heldSlot.expiresAt);
@@ -207,7 +207,7 @@
 			this._consecutiveFailures = 0;
 			this._scheduleRenewal();
 		} else if (reply.type === 'lease-lost') {
-			this._context.log('warn', 'The lease on this VM\'s share lapsed', {slot: heldSlot.slot});
+			this._context.log('warn', 'the lease on this VM\'s share slot expired; a slot is claimed again', {slot: heldSlot.slot});
 			this._clearHeldSlot();
 			this._claim();
 		} else {
@@ -252,10 +252,10 @@
 				return;
 			}
 
-			const taken = new Set(reply.entries.map(({key}) => key));
-			const free = Array.from({length: this._context.settings.shareSlots}, (_, slot) => slot).filter(slot => !taken.has(`${sharePrefix}${slot}`));
-			const preferred = free.find(slot => slot === this._preferredSlot);
-			const slot = preferred ?? this._context.pick(free, 1)[0];
+			const claimedKeys = new Set(reply.entries.map(({key}) => key));
+			const freeSlots = Array.from({length: this._context.settings.shareSlots}, (_, slot) => slot).filter(slot => !claimedKeys.has(`${sharePrefix}${slot}`));
+			const preferred = freeSlots.find(slot => slot === this._preferredSlot);
+			const slot = preferred ?? this._context.pick(freeSlots, 1)[0];
 			if (slot === undefined) {
 				this._revokeLeaseAndRetry(lease);
 			} else {
@@ -276,7 +276,7 @@
 			if (reply.type === 'written') {
 				this._markUsed(slot, lease);
 			} else {
-				// Lost to another, or in doubt: if it did take effect, the lease takes it away again.
+				// Another VM has claimed the slot, or the outcome is unknown: if the write took effect, revoking the lease removes it.
 				this._revokeLeaseAndRetry(lease);
 			}
 		});
@@ -292,7 +292,7 @@
 			}
 
 			this._isClaiming = false;
-			// Only this write proves a first use; after a lost answer the mark may be this VM's own, and it waits.
+			// Only a successful write proves the slot's first use. After a lost reply the mark may be this VM's own, but it waits all the same.
 			this._setHeldSlot(slot, lease.leaseId, lease.expiresAt, reply.type !== 'written');
 		});
 	}
--- a/src/common/fleet/stopping/vm-life.ts
+++ b/src/common/fleet/stopping/vm-life.ts
@@ -1,4 +1,4 @@
-/** Life of this VM's process; states and order are in charts/vm-life.json. A planned stop cuts off no call. */
+/** Lifecycle of this VM's process; the state machine is charts/vm-life.json. A planned stop interrupts no call. */
 import chartDefinition from '../../../../charts/vm-life.json' with {type: 'json'};
 import {type Milliseconds} from '../../model/units.ts';
 import {Chart} from '../chart.ts';
@@ -9,19 +9,20 @@
 type Event = 'CONFIGURED' | 'STOP' | 'ANSWERS_EXPIRED' | 'IDLE_CLOSED' | 'DRAINED' | 'HANDED_OVER';
 
 /**
- * Time for the word that this VM leaves to reach all others, beyond the time for which callers keep an answer.
- * A VM that misses the word suspects this one only after its end; by then its own answers have expired as well.
+ * Time for the leave announcement to reach all VMs, in addition to the time for which callers cache an address answer.
+ * A VM that misses the announcement suspects this VM only after its process has ended; by then the answers that this VM
+ * gave have expired as well.
  */
 const announcementSpreadMilliseconds: Milliseconds = 2000;
 
-/** Callers whose connection was closed open another elsewhere; this long a late one is still served here. */
+/** Time between closing idle connections and refusing new ones. A caller whose connection was closed connects to another VM; late new connections are still served here. */
 const idleCloseMilliseconds: Milliseconds = 1000;
 
-/** What a stop needs done by others. */
+/** Actions of a planned stop that other components carry out. */
 export type VmLifecycleActions = {
-	/** Tell the other VMs that this one leaves. */
+	/** Announces to the other VMs that this VM is leaving. */
 	readonly announce: () => void;
-	/** Hand the share slot over, and call back when that is done. */
+	/** Hands the share slot over and calls `onDone` when that has finished. */
 	readonly handOver: (onDone: () => void) => void;
 };
 
@@ -48,8 +49,8 @@
 				this._scheduleEvent('idle-closed', idleCloseMilliseconds, 'IDLE_CLOSED');
 			},
 			drain: () => {
-				// The count at hand is up to half a second old, and a call may have come since: only one that is
-				// told from now on, with the listener closed, may end the process.
+				// The last known number of calls in flight is up to half a second old, and a call may have arrived since. Only a
+				// number reported after this point, with the listener closed, may end the process.
 				this._enter('draining');
 			},
 			handOver: () => {
@@ -79,12 +80,12 @@
 		this._chart.send('CONFIGURED');
 	}
 
-	/** A planned stop; a second request changes nothing. */
+	/** Starts a planned stop; a second request has no effect. */
 	stop(): void {
 		this._chart.send('STOP');
 	}
 
-	/** A download may take hours: there is no limit after which it would be cut. */
+	/** Updates the number of calls in flight. Draining has no time limit, as a download may take hours. */
 	handleTraffic(traffic: FrontTraffic): void {
 		this._callsInFlight = traffic.callsInFlight;
 		this._checkDrained();
--- a/src/common/fleet/timers.ts
+++ b/src/common/fleet/timers.ts
@@ -1,9 +1,9 @@
-/** Named timers of a deterministic engine: they hold instants, never a clock. */
+/** Named timers of a deterministic engine, which work on instants passed in and read no clock. */
 import {type Instant} from '../model/units.ts';
 
 type Timer = {readonly at: Instant; readonly action: () => void};
 
-/** A timer set again under its name replaces the earlier one. */
+/** Setting a timer replaces an earlier one of the same name. */
 export class Timers {
 	private readonly _timers = new Map<string, Timer>();
 
@@ -29,7 +29,7 @@
 		return earliest;
 	}
 
-	/** Runs what is due, earliest first. A timer that an action sets anew waits for the next run. */
+	/** Runs the actions of all due timers, earliest first. A timer set by one of these actions waits for the next run. */
 	run(now: Instant): void {
 		const due = [...this._timers].filter(([, timer]) => timer.at <= now).toSorted(([, a], [, b]) => a.at - b.at);
 		for (const [name, timer] of due) {
