--- a/src/common/fleet/addresses/address-book.test.ts
+++ b/src/common/fleet/addresses/address-book.test.ts
@@ -20,7 +20,7 @@
 	return new AddressSelector(settings, seededRandom(seed), testHash);
 }
 
-/** Where 3,000 callers go that ask once each and use the first address named. */
+/** Number of callers per address if 3,000 callers query once each and use the first address. */
 function firstChoices(candidates: readonly AddressCandidate[], dataCentre?: string): Map<string, number> {
 	const answers = createSelector(1);
 	const counts = new Map<string, number>();
@@ -41,30 +41,31 @@
 	return sum / 3000;
 }
 
-describe('answers to "which addresses"', () => {
-	// All callers ask at once and take the first address. Gathered on one VM they would overload it while others idle.
-	it('spread callers over all VMs, whoever asks first', () => {
+describe('address answers', () => {
+	// Guards against overload of one VM while others idle, when all callers query at once and use the first address.
+	it('spread callers over all VMs', () => {
 		const counts = firstChoices(vms(16));
 		expect(counts.size).toEqual(16);
 		expect(Math.max(...counts.values())).toBeLessThan(3000 / 16 * 1.4);
 	});
 
-	it('prefer the caller\'s data centre while it has room, and spread as it fills up', function () {
+	it('prefer the caller\'s data centre while it has spare capacity, and spread callers as its load rises', function () {
 		const share = (load: number): string => shareOf(firstChoices(vms(15, index => (index % 3 === 0 ? load : 0.2)), 'dc-0'), index => index % 3 === 0).toFixed(1);
 		expect({
 			idle: share(0), busy: share(0.8), busier: share(0.9), full: share(1), unknownCaller: shareOf(firstChoices(vms(15)), index => index % 3 === 0).toFixed(1),
 		}).toMatchSnapshot(this);
 	});
 
-	it('send fewer to a busy VM, and some still: its load in the answer is old', () => {
+	it('send fewer callers, but not none, to a busy VM, because its utilisation may be out of date', () => {
 		const counts = firstChoices(vms(16, index => (index === 5 ? 1 : 0)));
 		const part = counts.get('vm-5')! / (3000 / 16);
 		expect(part > 0.15 && part < 0.4).toEqual(true);
 	});
 
-	// At the target size no VM can carry every service. If two VMs named different subsets, more VMs than planned
-	// would carry each; if a lost VM changed all subsets, all would have to learn new services at once.
-	it('name the same subset of many VMs wherever asked, grow it with the load, and keep it when one is lost', () => {
+	// Guards the number of services per VM: at the target size no VM can serve every service. If VMs returned different
+	// subsets, more VMs than planned would serve each service; if the loss of a VM changed all subsets, all VMs would have
+	// to start serving new services at once.
+	it('name the same subset on all VMs, grow it with the load, and change one place when a VM is lost', () => {
 		const all = vms(200);
 		const subsetOf = (candidates: readonly AddressCandidate[], calls: number, seed: number): Set<string> => {
 			const named = new Set<string>();
@@ -88,8 +89,8 @@
 		expect([...small].filter(address => !without.has(address))).toEqual([lost]);
 	});
 
-	// A subset is kept until the VMs change. Kept longer, it would name a VM that has left.
-	it('follow a change of the VMs at once, and their loads always', () => {
+	// Guards against a subset that is cached beyond a change of the VMs and so contains a VM that has left.
+	it('reflect a change of the VMs at once, and their current utilisation', () => {
 		const answers = createSelector(5);
 		const addressesFor = (revision: number, candidates: readonly AddressCandidate[]) => answers.answer('reads', {revision, vms: candidates}, 0, undefined).addresses;
 		const all = vms(40);
--- a/src/common/fleet/configuration/configuration-property.test.ts
+++ b/src/common/fleet/configuration/configuration-property.test.ts
@@ -6,7 +6,7 @@
 } from '../test-utilities.test.ts';
 import {type ChangeSummary} from '../types.ts';
 
-/** One step of a run: an operator's change, or a fault, then some time. */
+/** One step of a run: an operator's change or a fault, after which virtual time passes. */
 type Step
 	= | {readonly kind: 'change'; readonly vm: number; readonly service: number; readonly isChecked: boolean; readonly milliseconds: number}
 		| {readonly kind: 'store'; readonly mode: StoreMode; readonly share: number; readonly milliseconds: number}
@@ -27,7 +27,7 @@
 	{weight: 1, arbitrary: fc.record({kind: fc.constantFrom('pause' as const, 'kill' as const, 'add' as const), vm: fc.nat(9), milliseconds: faultMilliseconds})},
 ), {minLength: 5, maxLength: 25});
 
-/** What an operator asked, and the version that the service held at that moment. */
+/** An operator's request, and the configuration version in the store when it was sent. */
 type RequestRecord = {readonly key: ResourceKey; readonly expected: number | undefined; readonly headVersion: number};
 
 class ConfigurationRun {
@@ -48,7 +48,7 @@
 		const vm = step.kind === 'store' ? undefined : running[step.vm % Math.max(1, running.length)];
 		if (step.kind === 'store') {
 			this.fleet.staleEntries = step.mode === 'stale' ? new Map(this.fleet.store.entries) : this.fleet.staleEntries;
-			// One in `share + 1` operations meets the fault.
+			// Every (`share` + 1)th store operation meets the fault.
 			let count = 0;
 			this.fleet.modeOf = () => {
 				count += 1;
@@ -59,7 +59,7 @@
 		} else if (vm && step.kind === 'change') {
 			const name = `service-${step.service}`;
 			const operationId = `operation-${index}`;
-			// The operator has read through another VM than the one that is asked.
+			// The operator reads the current version through another VM than the one that receives the change.
 			const other = running[(step.vm + 1) % running.length]!;
 			const expected = step.isChecked ? other.engine.resource(`service/${name}`)?.metadata.version ?? 0 : undefined;
 			this.requests.set(index, {key: `service/${name}`, expected, headVersion: this.fleet.headVersion()});
@@ -73,23 +73,23 @@
 		this.fleet.run(step.milliseconds);
 	}
 
-	/** Everything heals; whoever is left comes to one configuration. */
+	/** Ends all faults and lets the remaining VMs converge on one configuration. */
 	heal(): void {
 		this.fleet.modeOf = () => undefined;
 		this.fleet.run(45_000);
 	}
 }
 
-/** Version of a resource in a version of the configuration, by the history. */
+/** Version that a resource had at a version of the configuration, from the history; 0 = none. */
 function versionAt(history: readonly ChangeSummary[], key: ResourceKey, headVersion: number): number {
 	return Math.max(0, ...history.filter(({version, changes}) => version <= headVersion && changes.some(change => change.key === key)).map(({version}) => version));
 }
 
 describe('configuration under faults', () => {
-	// Operators change the same services through several VMs while the store is out, loses answers or shows an old
-	// copy, and VMs are paused, killed and started. If one is told a falsehood, or a VM goes back, an order may run
-	// by a rule that was withdrawn.
-	it('no operator is told a falsehood, no VM goes back, and all come to the same', () => {
+	// Guards against false answers to operators and against a return to an older version, after which an order could run
+	// under a withdrawn rule. Operators change the same services through several VMs while the store is unavailable, loses
+	// replies or serves stale reads, and VMs are paused, killed and started.
+	it('every answer is true, no VM returns to an older version, and all VMs converge', () => {
 		const counts: Record<string, number> = {};
 		fc.assert(fc.property(steps, fc.nat(1000), (list, seed) => {
 			const run = new ConfigurationRun(seed);
@@ -113,7 +113,7 @@
 					}
 
 					if (answer.type === 'conflict') {
-						// False if the resource stood at the expected version from the question to the answer.
+						// A conflict is false if the resource had the expected version both at the request and at the answer.
 						const {key, expected, headVersion: requestedAtVersion} = run.requests.get(requestId)!;
 						expect([versionAt(history, key, requestedAtVersion), versionAt(history, key, headVersion)]).not.toEqual([expected!, expected!]);
 					} else if (answer.type === 'refused') {
--- a/src/common/fleet/configuration/configuration.test.ts
+++ b/src/common/fleet/configuration/configuration.test.ts
@@ -36,9 +36,9 @@
 		}).toMatchSnapshot(this);
 	});
 
-	// An operator's write takes effect, but its answer is lost on the way. Told "refused", the operator would make
-	// the change again or believe the old state; told "accepted" without proof, a change might be missed.
-	it('a write whose answer is lost is found by reading back', function () {
+	// Guards against a wrong answer after a lost reply to a write that took effect. After a false "refused" the operator
+	// would repeat the change or assume the old state; after an unproven "accepted" a change could be missing.
+	it('a write whose reply is lost is found by reading back', function () {
 		const fleet = fleetOf(3);
 		let losses = 2;
 		fleet.modeOf = (_vm, operation) => {
@@ -52,9 +52,10 @@
 		expect({answers: fleet.vms[1]!.answers, inForce: inForce(fleet), history: fleet.vms[0]!.engine.history(5)}).toMatchSnapshot(this);
 	});
 
-	// The store fails in the middle of a write and stays out. The write may have taken effect. The operator must
-	// hear "unknown" with the operation's identity, and asking again with it after the outage must tell the truth.
-	it('an operator hears "unknown" when the store goes out in mid-write, and the truth when asking again', function () {
+	// Guards against a wrong answer when the store fails during a write and stays unavailable, so that the write may have
+	// taken effect. The operator must receive "unknown" with the operation identity, and a retry with it after the outage
+	// must return the outcome.
+	it('an operator receives "unknown" if the store fails during a write, and the outcome on a retry', function () {
 		const fleet = fleetOf(3);
 		fleet.modeOf = (_vm, operation) => (operation.type === 'compare-and-swap' && operation.key.endsWith('head') ? 'lost' : 'down');
 		change(fleet, fleet.vms[1]!, 'doubtful', 'orders');
@@ -66,9 +67,9 @@
 		expect({told: firstAnswers, again: fleet.vms[2]!.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
-	// A write is held up on its way for 3 s; its answer is given up long before. Reading back shows nothing, and the
-	// next write meets a closed port. "Refused" would be false as soon as the first write arrives.
-	it('a write that is still on its way is never called refused', function () {
+	// Guards against a false "refused". A write is delayed in transit for 3 s, long after the wait for its reply has timed
+	// out. Reading back does not show it, and the next write fails to connect; then the first write takes effect.
+	it('a write that is still in transit is never answered as refused', function () {
 		const fleet = fleetOf(3);
 		const modes: Array<'late' | 'down' | undefined> = ['late', 'down', 'down'];
 		fleet.modeOf = (_vm, operation) => (operation.type === 'compare-and-swap' && operation.key.endsWith('head') ? modes.shift() : undefined);
@@ -77,9 +78,9 @@
 		expect({answers: fleet.vms[1]!.answers, inForce: inForce(fleet), history: fleet.vms[0]!.engine.history(5).map(({operationId}) => operationId)}).toMatchSnapshot(this);
 	});
 
-	// An operator reads through one VM and writes through another that has not heard of the latest change. Judged by
-	// what that VM knows, the right version looks wrong, and the operator hears of a conflict with nobody.
-	it('a VM that has not heard of the latest version tells no false conflict', function () {
+	// Guards against a false conflict when an operator reads through one VM and writes through another that lacks the latest
+	// change: compared with that VM's own version, the operator's correct expected version looks wrong.
+	it('a VM that lacks the latest version reports no false conflict', function () {
 		const fleet = fleetOf(3);
 		change(fleet, fleet.vms[0]!, 'made', 'orders', 0);
 		fleet.run(1000);
@@ -99,9 +100,9 @@
 		expect({known: knownVersion, answers: late.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
-	// Two operators change the same service at once through two VMs, each from version 1. Both would believe they
-	// won if each VM answered from its own view; one would find its change gone.
-	it('of two operators at once one wins, the other hears which version beat it and whose', function () {
+	// Guards against a lost change when two operators change the same service through two VMs at once, each from version 1.
+	// If each VM answered from its own view, both changes would be accepted and one would be overwritten.
+	it('of two concurrent changes one is accepted, the other conflicts and names the accepted version and its author', function () {
 		const fleet = fleetOf(3);
 		change(fleet, fleet.vms[0]!, 'made', 'orders', 0);
 		fleet.run(1000);
@@ -111,8 +112,8 @@
 		expect({left: fleet.vms[1]!.answers, right: fleet.vms[2]!.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
-	// A stale replica answers the read before the write: it shows the service's old version. A VM that trusted it
-	// would tell an operator, who has seen the new version, of a conflict that does not exist.
+	// Guards against trust in a stale replica, which answers the read before the write with the service's old version. A VM
+	// that relied on it would report a false conflict to an operator who has seen the new version.
 	it('a stale read leads neither to a false conflict nor to an old version in force', function () {
 		const fleet = fleetOf(3);
 		change(fleet, fleet.vms[0]!, 'made', 'orders', 0);
@@ -128,9 +129,9 @@
 		expect({answers: late.answers, versions: late.versions, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
-	// A VM is paused while the configuration moves on. Watch events and messages from before its pause reach it,
-	// and it passes on what it knew. If anybody took the older version, a withdrawn rule would be in force again.
-	it('a VM that was paused, and late events, never bring an older version back', function () {
+	// Guards against a withdrawn rule coming back into force. A VM is paused while the configuration changes; then watch
+	// events and messages from before the pause reach it, and it passes its older version on.
+	it('neither a VM that was paused nor late events bring an older version back', function () {
 		const fleet = fleetOf(5);
 		change(fleet, fleet.vms[0]!, 'one', 'orders');
 		fleet.run(1000);
@@ -143,9 +144,9 @@
 		expect({old, isGrowing, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
-	// A backend server is deleted and declared again under its name. Whoever keyed reports or signs of leaving by
-	// name would give the new one the old one's history.
-	it('deleted and made again under its name, a resource has a new identity', function () {
+	// Guards a backend server that is deleted and declared again under its name against the load reports and leaving signs
+	// of the deleted one.
+	it('a resource that is deleted and created again under its name has a new identity', function () {
 		const fleet = fleetOf(2);
 		const vm = fleet.vms[0]!;
 		fleet.dispatch(vm, {type: 'operator-change', requestId: 1, change: testChange('first', [testService('orders'), testBackendServer('a', 'orders')])});
@@ -165,7 +166,7 @@
 		}).toMatchSnapshot(this);
 	});
 
-	it('refuses what does not hang together, and changes nothing', function () {
+	it('a change with broken references, no resource or repeated resources is refused and has no effect', function () {
 		const fleet = fleetOf(1);
 		const vm = fleet.vms[0]!;
 		fleet.dispatch(vm, {type: 'operator-change', requestId: 1, change: testChange('no-service', [testBackendServer('a', 'orders')])});
@@ -178,9 +179,9 @@
 		expect({answers: vm.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
-	// The store is out when a VM starts. Serving nothing forever would turn every replacement in an outage into a
-	// loss; serving without a configuration would send calls nowhere or to the wrong place.
-	it('a VM that starts in an outage of the store takes the configuration from a peer and serves only then', function () {
+	// Guards the replacement of VMs in an outage of the store. A new VM that never served would be a loss of capacity; one
+	// that served without a configuration would fail calls or send them to the wrong server.
+	it('a VM that starts in an outage of the store serves once it has the configuration from a peer', function () {
 		const fleet = fleetOf(3);
 		change(fleet, fleet.vms[0]!, 'one', 'orders');
 		fleet.run(1000);
@@ -193,9 +194,9 @@
 		}).toMatchSnapshot(this);
 	});
 
-	// Many changes, each small, and one too large for the head: the head must stay under the service's limit, and
-	// a VM that comes later must get the same from the snapshot and the rest of the history.
-	it('long histories and large changes go through snapshots and come into force as a whole', function () {
+	// Guards the head's size limit under many small changes and one that is too large for the head. A VM that starts later
+	// must get the same configuration from the snapshot and the rest of the history.
+	it('long histories and large changes are stored in snapshots and come into force atomically', function () {
 		const fleet = fleetOf(2);
 		const vm = fleet.vms[0]!;
 		const large = Array.from({length: 3000}, (_, index) => testBackendServer(`server-${index}`, 'orders'));
--- a/src/common/fleet/configuration/large-change.test.ts
+++ b/src/common/fleet/configuration/large-change.test.ts
@@ -1,12 +1,12 @@
 import {expect} from 'earl';
 import {FakeFleet, testChange, testService} from '../test-utilities.test.ts';
 
-/** Resources whose change is too large for the history in the head, so that it goes into a snapshot at once. */
+/** Number of services whose change is too large for the history in the head, so that it is stored in a snapshot at once. */
 const manyServices = 1000;
 
 describe('large change', () => {
-	// Guards a large change against being in force on all VMs but the one that took it.
-	it('is in force on the VM that took it, as on all others', () => {
+	// Guards against a large change that is in force on all VMs except the one that received it.
+	it('is in force on the VM that received it, as on all others', () => {
 		const fleet = new FakeFleet(1);
 		for (let index = 0; index < 3; index += 1) {
 			fleet.add(`vm-${index}`, `dc-${index}`);
--- a/src/common/fleet/fake-store.test.ts
+++ b/src/common/fleet/fake-store.test.ts
@@ -1,10 +1,10 @@
-/** The platform's key-value service in memory, for tests of the fleet engine. */
+/** In-memory implementation of the platform's key-value service, for tests of the fleet engine. */
 import {type Instant} from '../model/units.ts';
 import {type StoreEntry, type StoreOperation, type StoreReply} from '../platform/types.ts';
 
 export const testLeaseMilliseconds = 9000;
 
-/** The key-value service in memory. Watches wait in the fake fleet. */
+/** Key-value store with leases. A watch returns at once; the fake fleet makes it wait. */
 export class FakeStore {
 	revision = 0;
 	calls = 0;
@@ -41,7 +41,7 @@
 				return {type: 'written', revision: this.revision};
 			}
 
-			// Only a fleet that the store leads asks for it.
+			// Used by the store-led engine only.
 			case 'write-all': {
 				return {type: 'unavailable'};
 			}
--- a/src/common/fleet/leaving/late-signs.test.ts
+++ b/src/common/fleet/leaving/late-signs.test.ts
@@ -13,10 +13,10 @@
 	return fleet;
 }
 
-describe('signs of leaving that are told late', () => {
-	it('reach a VM that joins after they went round', () => {
-		// A backend server begins to leave. Half a minute later a VM is replaced. The rumour has been sent as
-		// often as it ever is, so the new VM never hears of it and gives the leaving server work.
+describe('late leaving signs', () => {
+	it('reach a VM that joins after they were spread', () => {
+		// Guards a leaving server against calls from a VM that starts half a minute after the sign. By then the rumour has
+		// reached its send limit, so the new VM receives the sign only with the answer to its join.
 		const fleet = startedFleet();
 		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign});
 		fleet.run(30_000);
@@ -25,9 +25,9 @@
 		expect(late.signs.map(({identity}) => identity)).toEqual(['reads-1']);
 	});
 
-	it('reach a VM that was cut off while they went round', () => {
-		// A VM is cut off from the others for 20 seconds. Meanwhile they tell one another that a backend
-		// server leaves, until the rumour is spent. The cut heals; the VM must hear of it within seconds.
+	it('reach a VM that was cut off while they were spread', () => {
+		// Guards a leaving server against calls from a VM that no other VM reached for 20 seconds. Meanwhile the rumour has
+		// reached its send limit. The VM must receive the sign within seconds after the network has recovered.
 		const fleet = startedFleet();
 		for (const [from, to] of [['one', 'three'], ['two', 'three'], ['three', 'one'], ['three', 'two']] as const) {
 			fleet.cuts.add(`${from}>${to}`);
--- a/src/common/fleet/membership/membership.test.ts
+++ b/src/common/fleet/membership/membership.test.ts
@@ -26,13 +26,13 @@
 }
 
 describe('membership', () => {
-	it('all VMs come to know one another from a few seeds', function () {
+	it('all VMs discover one another from a few seeds', function () {
 		const fleet = fleetOf(16);
 		expect(views(fleet)).toMatchSnapshot(this);
 	});
 
-	// A VM dies without a word. Callers must not be sent to it for longer than a few seconds.
-	it('a dead VM is suspected, then dead, and out of the answers from the suspicion on', function () {
+	// Guards callers against a VM that has failed without an announcement: it may be returned to them for a few seconds at most.
+	it('a failed VM is suspected, then declared dead, and not returned to callers once it is suspected', function () {
 		const fleet = fleetOf(5);
 		fleet.kill(fleet.vms[2]!);
 		const answerCounts: string[] = [];
@@ -45,9 +45,9 @@
 		expect({named: answerCounts, views: views(fleet)}).toMatchSnapshot(this);
 	});
 
-	// Packets from one VM to another are lost in one direction only; both reach everybody else. Taken for a death,
-	// a VM in good health would lose its callers.
-	it('a cut between two VMs, one way or both, is no death', function () {
+	// Guards a healthy VM against being declared dead, and so losing its callers, when packets between it and one other
+	// VM are lost in one or both directions.
+	it('a network fault between two VMs, one way or both, lets neither be declared dead', function () {
 		const fleet = fleetOf(5);
 		cut(fleet, fleet.vms[1]!, fleet.vms[2]!);
 		fleet.run(20_000);
@@ -57,9 +57,9 @@
 		expect({oneWay, bothWays: views(fleet)}).toMatchSnapshot(this);
 	});
 
-	// A VM is frozen longer than it takes to be called dead, then runs again, and takes all others for dead as its
-	// probes went unanswered. Neither verdict may last.
-	it('a VM that was paused is taken back, and takes nobody for dead', function () {
+	// Guards against false verdicts after a pause. A VM is paused for longer than it takes to be declared dead; when it
+	// resumes, its own probes look unanswered. It must be live again, and must declare no other VM dead.
+	it('a VM that was paused is live again, and declares no other VM dead', function () {
 		const fleet = fleetOf(5);
 		fleet.pause(fleet.vms[3]!, 12_000);
 		fleet.run(11_000);
@@ -70,8 +70,8 @@
 		expect({during, atWaking, after: views(fleet)}).toMatchSnapshot(this);
 	});
 
-	// A process ends and another starts under its address. Old rumours about the first must not bind the second.
-	it('a new process under an old address is another member', function () {
+	// Guards a new process against rumours about the previous process under the same address.
+	it('a new process under an existing address is a new member', function () {
 		const fleet = fleetOf(4);
 		const old = fleet.vms[1]!;
 		fleet.kill(old);
@@ -80,9 +80,9 @@
 		expect(views(fleet)).toMatchSnapshot(this);
 	});
 
-	// All VMs are cut from one and the store is out too. It can't know what is accepted elsewhere, so it must say
-	// so, name itself to nobody, and be back in force with the newest version before it counts again.
-	it('a VM cut off from everybody says so, and lifts it only with the newest configuration', function () {
+	// Guards callers against an outdated configuration. A VM reaches neither the other VMs nor the store, so it may miss
+	// accepted changes. It must be cut off and return no addresses until it has the newest version.
+	it('a VM without any contact is cut off, until it has the newest configuration', function () {
 		const fleet = fleetOf(4);
 		const isolated = fleet.vms[3]!;
 		for (const vm of fleet.vms) {
@@ -112,17 +112,16 @@
 		}).toMatchSnapshot(this);
 	});
 
-	// The store is out for everybody; the VMs still have one another. Nobody may take itself for cut off, or the
-	// outage would stop the service.
-	it('an outage of the store alone cuts nobody off', function () {
+	// Guards against an outage of the store stopping the service: no VM may be cut off while the VMs reach one another.
+	it('an outage of the store alone leaves no VM cut off', function () {
 		const fleet = fleetOf(4);
 		fleet.mode = 'down';
 		fleet.run(120_000);
 		expect(fleet.vms.map(({isCutOff}) => isCutOff)).toEqual([false, false, false, false]);
 	});
 
-	// The load on the store must not grow with the fleet: each waiting watch counts as a call.
-	it('few VMs of each data centre watch the store, whoever comes and goes', function () {
+	// Guards the store against load that grows with the fleet: each waiting watch counts as a call.
+	it('few VMs of each data centre watch the store, also after one of them fails', function () {
 		const fleet = fleetOf(16);
 		const watchers = (): string[] => fleet.vms.filter(({isGone}) => !isGone).filter(vm => vm.engine.status(fleet.now).isWatchingStore).map(({name}) => name);
 		const before = watchers();
@@ -131,7 +130,7 @@
 		expect({before, after: watchers()}).toMatchSnapshot(this);
 	});
 
-	it('what a VM sends does not grow with the fleet', function () {
+	it('the number of messages that a VM sends does not grow with the fleet', function () {
 		const rates = [4, 8, 16, 32].map(count => {
 			const fleet = fleetOf(count);
 			const before = fleet.vms.reduce((sum, {messagesSent}) => sum + messagesSent, 0);
--- a/src/common/fleet/shares/shares.test.ts
+++ b/src/common/fleet/shares/shares.test.ts
@@ -9,10 +9,10 @@
 const slots = 4;
 const windowMilliseconds = 10_000;
 
-/** A moment at which a VM believed that it may spend a slot's part. */
+/** An instant at which a VM used its slot's part of the budget. */
 type Spend = {readonly slot: number; readonly vm: string; readonly at: number};
 
-/** Lets every VM spend whenever it believes it may; its own clock and what it holds are all it asks. */
+/** Lets every VM use its slot whenever its own clock and its shares allow, at most every 200 ms, and records each use. */
 function recordSpends(fleet: FakeFleet): Spend[] {
 	const spends: Spend[] = [];
 	const latest = new Map<string, number>();
@@ -30,7 +30,7 @@
 	return spends;
 }
 
-/** The promise: in any window one slot is spent by one VM only, so the slots' parts add up to the budget at most. */
+/** Uses of one slot by two VMs within one window. There must be none, so that the slots' parts never exceed the budget. */
 function overlaps(spends: readonly Spend[]): Spend[][] {
 	const overlapping: Spend[][] = [];
 	for (let slot = 0; slot < slots; slot += 1) {
@@ -47,7 +47,7 @@
 	return overlapping;
 }
 
-/** Most connections that the VMs together believe to be theirs, as a part of the limit. */
+/** Sum of the connection parts that the VMs claim, as a fraction of the limit. */
 function connectionSum(fleet: FakeFleet): number {
 	return fleet.vms.filter(({isGone}) => !isGone).reduce((sum, {shares}) => sum + (shares?.connectionPart ?? 0), 0);
 }
@@ -123,7 +123,7 @@
 		}
 
 		case 'suspend': {
-			// A VM's whole clock stands still; the adapter tells on waking. Here the clock runs on, which is stricter.
+			// When a VM is suspended, its monotonic clock stands still and the adapter reports the suspension on resuming. Here the clock runs on, which is stricter.
 			fleet.pause(vm, fault.milliseconds);
 			fleet.after(fault.milliseconds + 1, () => {
 				fleet.dispatch(vm, {type: 'woke', milliseconds: fault.milliseconds});
@@ -140,15 +140,16 @@
 } as const), {minLength: 3, maxLength: 14});
 
 describe('shares of fleet-wide budgets', () => {
-	it('each VM holds a slot, and one beyond the slots spends nothing', function () {
+	it('each VM holds a slot, and a VM in excess of the slots holds none', function () {
 		const fleet = fleetOf(5, 1);
 		fleet.run(15_000);
 		expect(holders(fleet)).toMatchSnapshot(this);
 	});
 
-	// VMs are paused past their leases, killed, replaced, cut from the store, lose answers, in any order and at once.
-	// If two spent one slot in a window, a backend server would be measured more than its operator allowed.
-	it('no slot is ever spent by two VMs within a window, whatever happens', () => {
+	// Guards backend servers against more measuring calls than their operator allows, which two VMs with one slot in a
+	// window would send. VMs are paused beyond their leases, killed, replaced, cut off from the store, or lose replies, in
+	// any order and at once.
+	it('no slot is used by two VMs within a window under any faults', () => {
 		let spent = 0;
 		fc.assert(fc.property(faults, fc.nat(1000), (list, seed) => {
 			const fleet = fleetOf(4, seed);
@@ -168,9 +169,9 @@
 		expect(spent).toBeGreaterThan(10_000);
 	});
 
-	// A planned stop hands the slot over. If both went on with it, or a grant on its way were counted from its
-	// arrival, it would be spent twice; if nobody had it, it would be lost until the lease ends.
-	it('a stopping VM hands its slot to one without, who spends it only a window later', function () {
+	// Guards the handover in a planned stop. If both VMs used the slot, or the receiver counted the grant from its arrival,
+	// the slot would be used twice; if neither held it, it would be unused until the lease expires.
+	it('a stopping VM hands its slot to a VM without one, which uses it only a window later', function () {
 		const fleet = fleetOf(5, 2);
 		fleet.run(15_000);
 		const spends = recordSpends(fleet);
@@ -189,9 +190,9 @@
 		}).toMatchSnapshot(this);
 	});
 
-	// In an outage nobody can claim, so nobody can take the connections over: giving them up would close connections
-	// that work. A VM that alone is cut from the store must give them up, as others can claim its slot.
-	it('connections are kept in an outage, and given up by a VM that alone is cut off', function () {
+	// Guards working connections against being closed in an outage of the store, when no VM can claim the slot. A VM that
+	// alone cannot reach the store must release them, as other VMs can claim its slot.
+	it('connections are kept in an outage of the store, and released by a VM that alone cannot reach the store', function () {
 		const fleet = fleetOf(4, 3);
 		fleet.run(15_000);
 		fleet.mode = 'down';
--- a/src/common/fleet/stopping/stopping.test.ts
+++ b/src/common/fleet/stopping/stopping.test.ts
@@ -23,9 +23,9 @@
 }
 
 describe('planned stop of a VM', () => {
-	// A VM is told to stop while callers still hold answers that name it, and one of them is in the middle of a long
-	// download. Ended too soon, it cuts the download off and callers find a closed port.
-	it('leaves the answers, serves on while they are kept, and waits for a download however long it takes', function () {
+	// Guards against a VM that ends too soon: it would break off a long download, and callers with cached answers that
+	// contain this VM would be refused connections.
+	it('removes the VM from address answers, serves while callers cache older ones, and waits for a download without a time limit', function () {
 		const fleet = fleetOf(4);
 		const vm = fleet.vms[1]!;
 		traffic(fleet, vm, 1);
@@ -41,21 +41,21 @@
 		expect({steps, stages: vm.stages}).toMatchSnapshot(this);
 	});
 
-	it('begins on a signal, on an operator\'s word through any VM, and on the platform\'s list', function () {
+	it('begins on an operator\'s order through another VM, and on the platform\'s list unless it is outdated', function () {
 		const fleet = fleetOf(4);
 		const list = (state: 'live' | 'leaving') => ({type: 'vm-list', vms: [{address: 'vm-2:1', dataCentre: 'dc-2', state}]} as const);
 		fleet.dispatch(fleet.vms[0]!, {type: 'operator-drain', identity: 'vm-1'});
 		fleet.dispatch(fleet.vms[2]!, list('live'));
 		fleet.dispatch(fleet.vms[2]!, list('leaving'));
-		// The list lags: it still tells of the process that ran here before.
+		// The list lags: it still shows the previous process at this address.
 		fleet.dispatch(fleet.vms[3]!, {type: 'vm-list', vms: [{address: 'vm-3:1', dataCentre: 'dc-0', state: 'leaving'}]});
 		fleet.run(100);
 		expect(fleet.vms.map(({stages}) => stages.at(-1))).toMatchSnapshot(this);
 	});
 
-	// All VMs are replaced one after the other while the store is out. New ones can't read the configuration there
-	// or claim anything; if the old ones took it all with them, the service would end with the last of them.
-	it('all VMs are replaced in an outage of the store and nothing is lost', function () {
+	// Guards the service when all VMs are replaced one after the other in an outage of the store. The new VMs can neither
+	// read the configuration nor claim share slots there, so they must get both from the old VMs before those end.
+	it('replaces all VMs in an outage of the store without losing configuration or share slots', function () {
 		const fleet = fleetOf(6);
 		fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
 		fleet.run(1000);
@@ -86,9 +86,9 @@
 		return [...fleet.vms[0]!.configuration!.backendServers.keys()][0]!;
 	}
 
-	// One VM sees the mark on an answer. The others know nothing and go on sending work for as long as it takes them
-	// to see it themselves. The store is out as well.
-	it('the first sign of any VM reaches all within 2 s, also in an outage of the store', function () {
+	// Guards a leaving backend server against calls from VMs that have not yet received a marked response from it. One VM
+	// has received one; the store is unavailable as well.
+	it('the first sign on any VM reaches all VMs within 2 s, also in an outage of the store', function () {
 		const fleet = fleetOf(16);
 		const identity = declare(fleet);
 		fleet.mode = 'down';
@@ -98,9 +98,9 @@
 		expect(fleet.vms.map(({name, signs}) => `${name} ${signs.length} ${signs[0]!.at - at < 2000}`)).toMatchSnapshot(this);
 	});
 
-	// A server leaves and comes back as a new process under its address. A VM that was paused wakes and passes on
-	// the old sign. Bound by it, the new process would get no work.
-	it('an old sign does not bind a server that has returned', function () {
+	// Guards the new process of a returned server against an old sign, which a VM passes on after a pause; with that sign
+	// applied, the process would get no calls.
+	it('an old sign does not apply to a server that has returned', function () {
 		const fleet = fleetOf(4);
 		const identity = declare(fleet);
 		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
@@ -117,9 +117,9 @@
 		expect({afterReturn, leavesAgain: fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.map(({instance}) => instance))}).toMatchSnapshot(this);
 	});
 
-	// A server leaves, comes back as a new process, and only one VM has met that one. A VM that starts later is told
-	// of all signs; told of the old one, which it can't tell from a new one, it would give the server no work.
-	it('a VM that starts after a server has returned is not told the old sign', () => {
+	// Guards a returned server whose new process only one VM has observed. A VM that starts later receives all signs and
+	// can't distinguish an old sign from a new one; with the old one it would assign the server no calls.
+	it('a VM that starts after a server has returned does not receive the old sign', () => {
 		const fleet = fleetOf(3);
 		const identity = declare(fleet);
 		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
@@ -140,9 +140,9 @@
 		expect(fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.length)).toEqual([0, 0, 0, 0]);
 	});
 
-	// A server is replaced and the new process begins to leave at once. A report of the old one is still on its way.
-	// Taken for a return, it would void the sign of the process that leaves now.
-	it('the late words of a forerunner void no sign', () => {
+	// Guards the sign of a new process that leaves at once: a report of the previous process, still in transit, must not
+	// count as a return and void that sign.
+	it('a late report of a previous process voids no sign', () => {
 		const fleet = fleetOf(3);
 		const identity = declare(fleet);
 		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
--- a/src/common/fleet/test-utilities.test.ts
+++ b/src/common/fleet/test-utilities.test.ts
@@ -1,4 +1,4 @@
-/** Fakes for tests of the fleet engine: an in-memory key-value service and message passing in virtual time. */
+/** Test doubles for the fleet engine: VMs with an in-memory store, and message passing in virtual time. */
 import {type CallConfiguration, type FleetShares} from '../calls/types.ts';
 import {type Resource, resourceSchema} from '../model/resources.ts';
 import {type Instant} from '../model/units.ts';
@@ -10,7 +10,7 @@
 	type FleetEffect, type FleetEvent, type FleetSettings, type FleetStage, type OperatorAnswer, type OperatorChange,
 } from './types.ts';
 
-/** A polynomial hash modulo a prime: enough spread for tests, and no set-up. */
+/** Polynomial hash modulo a prime, which is uniform enough for tests and needs no initialisation. */
 export function testHash(text: string): number {
 	let hash = 7;
 	for (const character of text) {
@@ -20,7 +20,7 @@
 	return (hash * 48_271) % 2_147_483_647;
 }
 
-/** What one VM of the fake fleet has done. */
+/** One VM of the fake fleet, with a record of its effects. */
 export class FakeVm {
 	readonly engine: FleetCoordinator;
 	readonly address: string;
@@ -49,8 +49,8 @@
 }
 
 /**
- * How the service behaves towards a VM. `lost` = takes effect, answer lost; `late` = takes effect seconds after its
- * answer was given up; `stale` = reads come from an old copy.
+ * How the store handles a VM's operations. `lost` = the operation takes effect, but its reply is lost; `late` = it takes
+ * effect seconds after the wait for its reply has timed out; `stale` = reads return an old copy.
  */
 export type StoreMode = 'up' | 'down' | 'lost' | 'late' | 'stale';
 
@@ -58,18 +58,18 @@
 
 type Step = {readonly at: Instant; readonly order: number; readonly run: () => void};
 
-/** Several engines, one service, messages with a delay. */
+/** Several engines with one store, and messages that arrive after a delay. */
 export class FakeFleet {
 	now: Instant = 0;
 	readonly store = new FakeStore();
 	readonly vms: FakeVm[] = [];
 	readonly log: string[] = [];
 	mode: StoreMode = 'up';
-	/** Decides for one operation; undefined = by `mode`. */
+	/** Mode for one operation; undefined = `mode` applies. */
 	modeOf: (vm: FakeVm, operation: StoreOperation) => StoreMode | undefined = () => undefined;
-	/** Pairs `from>to` of VM names between which messages are dropped. */
+	/** Pairs `from>to` of VM names; messages from the first to the second are dropped. */
 	readonly cuts = new Set<string>();
-	/** Copy of the service that stale reads come from. */
+	/** Copy of the store that stale reads return. */
 	staleEntries: ReadonlyMap<string, StoreEntry> = new Map();
 	onStep: () => void = () => undefined;
 	private _steps: Step[] = [];
@@ -102,7 +102,7 @@
 		return vm;
 	}
 
-	/** Version of the configuration that the service holds in truth. */
+	/** Version of the configuration in the store. */
 	headVersion(): number {
 		const entry = this.store.entries.get('jaydale/configuration/head');
 		return entry ? Number(/"version":(?<version>\d+)/v.exec(entry.value)!.groups!.version) : 0;
@@ -121,7 +121,7 @@
 		this._steps.push({at: this.now + milliseconds, order: this._order, run});
 	}
 
-	/** A paused VM gets what came meanwhile when it wakes, as a stopped process does. */
+	/** Pauses a VM. It handles events that arrive meanwhile when it resumes, like a stopped process. */
 	pause(vm: FakeVm, milliseconds: number): void {
 		vm.isPaused = true;
 		this.after(milliseconds, () => {
@@ -193,7 +193,7 @@
 		}
 	}
 
-	/** The front tells its traffic twice a second. */
+	/** Reports the traffic of the front twice a second. */
 	private _reportTraffic(vm: FakeVm): void {
 		this.after(500, () => {
 			const {callsInFlight} = vm;
@@ -282,7 +282,7 @@
 			return;
 		}
 
-		// Half of the delay on the way there, half on the way back: a pause may lie between.
+		// Request and reply are delayed separately, so that a pause may fall between them.
 		this.after(this._delay(), () => {
 			const isRead = operation.type === 'get' || operation.type === 'list';
 			const reply = mode === 'stale' && operation.type === 'get'
@@ -303,11 +303,11 @@
 			return;
 		}
 
-		// A copy, as after a wire: no VM may change what another holds.
+		// The message is cloned, as by a network, so that no VM can modify another VM's objects.
 		this._deliverEvent(target, this._delay(), {type: 'peer-message', message: structuredClone(message)});
 	}
 
-	/** Events for a paused VM wait until it runs again. */
+	/** Delivers an event to a VM after a delay; events for a paused VM wait until it resumes. */
 	private _deliverEvent(vm: FakeVm, milliseconds: number, event: FleetEvent): void {
 		this.after(milliseconds, () => {
 			if (vm.isPaused) {
@@ -323,7 +323,7 @@
 	}
 }
 
-/** A resource from its schema's defaults. */
+/** A service with the defaults of its schema. */
 export function testService(name: string): Resource {
 	return resourceSchema.parse({kind: 'service', name});
 }
@@ -334,7 +334,7 @@
 	});
 }
 
-/** A change that puts resources, whatever is there unless a version is expected. */
+/** A change that puts resources; it is unconditional unless `expectedVersion` is given. */
 export function testChange(operationId: string, resources: readonly Resource[], expectedVersion?: number): OperatorChange {
 	return {
 		operationId,
