--- a/src/common/fleet/chart.ts
+++ b/src/common/fleet/chart.ts
@@ -56,28 +56,28 @@
 	start(): void {
 		const [snapshot, actions] = initialTransition(this._machine);
 		this._snapshot = snapshot;
-		this._run(actions);
+		this._runActions(actions);
 	}
 
 	/** Queues an event. An event that the current state does not handle is dropped, as it belongs to an earlier state. */
 	send(event: Event): void {
 		this._queue.push(event);
 		if (!this._isRunning) {
-			this._drain();
+			this._processQueue();
 		}
 	}
 
-	private _drain(): void {
+	private _processQueue(): void {
 		for (let event = this._queue.shift(); event !== undefined; event = this._queue.shift()) {
 			if (this._snapshot) {
 				const [snapshot, actions] = transition(this._machine, this._snapshot, {type: event});
 				this._snapshot = snapshot;
-				this._run(actions);
+				this._runActions(actions);
 			}
 		}
 	}
 
-	private _run(actions: ReadonlyArray<{readonly type: string}>): void {
+	private _runActions(actions: ReadonlyArray<{readonly type: string}>): void {
 		const wasRunning = this._isRunning;
 		this._isRunning = true;
 		for (const {type} of actions) {
@@ -86,7 +86,7 @@
 
 		this._isRunning = wasRunning;
 		if (!wasRunning) {
-			this._drain();
+			this._processQueue();
 		}
 	}
 }
--- a/src/common/fleet/configuration/configuration-exchange.ts
+++ b/src/common/fleet/configuration/configuration-exchange.ts
@@ -100,7 +100,7 @@
 	push(): void {
 		const {version} = this._state;
 		const behind = this._membership.live.filter(({record}) => record.configurationVersion < version);
-		const targets = this._context.pick(behind, changePushTargets);
+		const targets = this._context.pickRandom(behind, changePushTargets);
 		for (const {record} of targets) {
 			const records = this._state.recordsAfter(record.configurationVersion)?.slice(0, maxRecordsPerMessage);
 			if (records && records.length > 0) {
@@ -126,7 +126,7 @@
 		const ahead = this._membership.live.filter(({record}) => record.configurationVersion > this._state.version || (!this._state.isLoaded && record.isServing));
 		// The VM that did not answer may have failed undetected: it is used again only if no other VM is ahead.
 		const others = ahead.filter(({record}) => record.peerAddress !== this._pullSource);
-		const [member] = this._context.pick(others.length > 0 ? others : ahead, 1);
+		const [member] = this._context.pickRandom(others.length > 0 ? others : ahead, 1);
 		if (member) {
 			this._pull(member.record.peerAddress);
 		}
--- a/src/common/fleet/configuration/configuration.test.ts
+++ b/src/common/fleet/configuration/configuration.test.ts
@@ -86,7 +86,7 @@
 		fleet.run(1000);
 		const late = fleet.vms[2]!;
 		for (const other of fleet.vms.slice(0, 2)) {
-			fleet.cuts.add(`${other.name}>${late.name}`);
+			fleet.droppedLinks.add(`${other.name}>${late.name}`);
 		}
 
 		fleet.modeOf = (vm, operation) => (vm === late && operation.type === 'watch' ? 'stale' : undefined);
--- a/src/common/fleet/fleet-context.ts
+++ b/src/common/fleet/fleet-context.ts
@@ -38,7 +38,7 @@
 	}
 
 	/** Returns and clears the effects emitted since the last call. */
-	takeEffects(): readonly FleetEffect[] {
+	drainEffects(): readonly FleetEffect[] {
 		const effects = this._effects;
 		this._effects = [];
 		return effects;
@@ -74,7 +74,7 @@
 	}
 
 	/** Up to `count` distinct elements of the list, in random order. */
-	pick<T>(list: readonly T[], count: number): T[] {
+	pickRandom<T>(list: readonly T[], count: number): T[] {
 		const rest = [...list];
 		const picked: T[] = [];
 		while (picked.length < count && rest.length > 0) {
--- a/src/common/fleet/fleet-coordinator.ts
+++ b/src/common/fleet/fleet-coordinator.ts
@@ -45,7 +45,7 @@
 	private readonly _context: FleetContext;
 	private readonly _state = new ConfigurationState();
 	private _sortedResources: {readonly version: number; readonly resources: readonly StoredResource[]} = {version: 0, resources: []};
-	private readonly _sender: PeerSender;
+	private readonly _peerSender: PeerSender;
 	private readonly _membership: Membership;
 	private readonly _prober: Prober;
 	private readonly _contactMonitor: ContactMonitor;
@@ -75,17 +75,17 @@
 		};
 
 		this._membership = new Membership(context, (to, body) => {
-			this._sender.send(to, body);
+			this._peerSender.send(to, body);
 		});
 		this._leavingSigns = new LeavingSigns(context, sign => {
 			context.emit({type: 'backend-server-leaving', sign});
-			this._sender.push(leavingSignPushTargets);
+			this._peerSender.push(leavingSignPushTargets);
 		});
 		this._loadUpdates = new LoadUpdateExchange(context, update => {
 			context.emit({type: 'peer-updates', updates: update});
 		});
-		this._sender = new PeerSender(context, this._membership, this._leavingSigns, this._loadUpdates);
-		const {send} = this._sender;
+		this._peerSender = new PeerSender(context, this._membership, this._leavingSigns, this._loadUpdates);
+		const {send} = this._peerSender;
 		this._prober = new Prober(context, this._membership, send);
 		this._contactMonitor = new ContactMonitor(context, () => this._membership.hasOthers || this._prober.listedAddresses.size > 0);
 		this._configurationExchange = new ConfigurationExchange(context, this._state, this._membership, send, onAdopted);
@@ -96,7 +96,7 @@
 		this._lifecycle = new VmLifecycle(context, {
 			announce: () => {
 				this._membership.updateOwn({isLeaving: true});
-				this._sender.push(leaveAnnouncementTargets);
+				this._peerSender.push(leaveAnnouncementTargets);
 			},
 			handOver: onDone => {
 				this._shareHandover.begin(onDone);
@@ -106,7 +106,7 @@
 		this._memberViews = new MemberViews(context, this._membership);
 		this._report = new FleetReport(context, this._state, this._membership);
 		this._receiver = new PeerReceiver({
-			sender: this._sender,
+			peerSender: this._peerSender,
 			membership: this._membership,
 			prober: this._prober,
 			contactMonitor: this._contactMonitor,
@@ -130,7 +130,7 @@
 
 		this._context.timers.run(now);
 		this._updateDerivedState();
-		return this._context.takeEffects();
+		return this._context.drainEffects();
 	}
 
 	nextWakeUp(): Instant | undefined {
@@ -152,8 +152,8 @@
 			shareSlot: this._shareHolder.slot,
 			shares: this._shareHolder.current(),
 			leavingSigns: this._leavingSigns.signs,
-			messagesSent: this._sender.messagesSent,
-			messagesReceived: this._sender.messagesReceived,
+			messagesSent: this._peerSender.messagesSent,
+			messagesReceived: this._peerSender.messagesReceived,
 		});
 	}
 
@@ -310,7 +310,7 @@
 
 		const member = this._membership.members.get(identity);
 		if (member) {
-			this._sender.send(member.record.peerAddress, {type: 'drain', identity});
+			this._peerSender.send(member.record.peerAddress, {type: 'drain', identity});
 		}
 	}
 
@@ -318,7 +318,7 @@
 		if (!this._context.timers.has('load-updates')) {
 			this._context.timers.set('load-updates', this._context.now + loadUpdateBatchMilliseconds, () => {
 				if (this._loadUpdates.hasUnsent) {
-					this._sender.push(loadUpdateTargets);
+					this._peerSender.push(loadUpdateTargets);
 				}
 			});
 		}
--- a/src/common/fleet/leaving/late-signs.test.ts
+++ b/src/common/fleet/leaving/late-signs.test.ts
@@ -30,13 +30,13 @@
 		// reached its send limit. The VM must receive the sign within seconds after the network has recovered.
 		const fleet = startedFleet();
 		for (const [from, to] of [['one', 'three'], ['two', 'three'], ['three', 'one'], ['three', 'two']] as const) {
-			fleet.cuts.add(`${from}>${to}`);
+			fleet.droppedLinks.add(`${from}>${to}`);
 		}
 
 		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign});
 		fleet.run(20_000);
 		expect(fleet.vms[2]!.signs).toEqual([]);
-		fleet.cuts.clear();
+		fleet.droppedLinks.clear();
 		fleet.run(5000);
 		expect(fleet.vms[2]!.signs.map(({identity}) => identity)).toEqual(['reads-1']);
 	});
--- a/src/common/fleet/leaving/leaving-signs.ts
+++ b/src/common/fleet/leaving/leaving-signs.ts
@@ -58,8 +58,8 @@
 		const returned = this._returnedInstances.get(sign.identity);
 		// Guards the new process of a returned server against signs for its previous processes.
 		const isReplaced = sign.instance !== undefined && this._replacedInstances.get(sign.identity)?.includes(sign.instance) === true;
-		const isOld = sign.source === 'peer' && (isReplaced || (returned !== undefined && sign.instance !== returned));
-		if (isOld || this._signs.has(key) || ageMilliseconds > this._ttl(sign)) {
+		const isOutdated = sign.source === 'peer' && (isReplaced || (returned !== undefined && sign.instance !== returned));
+		if (isOutdated || this._signs.has(key) || ageMilliseconds > this._ttl(sign)) {
 			return;
 		}
 
--- a/src/common/fleet/membership/membership.test.ts
+++ b/src/common/fleet/membership/membership.test.ts
@@ -21,8 +21,8 @@
 	return Object.fromEntries(fleet.vms.filter(({isGone}) => !isGone).map(vm => [vm.name, memberStates(vm, fleet)]));
 }
 
-function cut(fleet: FakeFleet, from: FakeVm, to: FakeVm): void {
-	fleet.cuts.add(`${from.name}>${to.name}`);
+function dropMessages(fleet: FakeFleet, from: FakeVm, to: FakeVm): void {
+	fleet.droppedLinks.add(`${from.name}>${to.name}`);
 }
 
 describe('membership', () => {
@@ -49,10 +49,10 @@
 	// VM are lost in one or both directions.
 	it('a network fault between two VMs, one way or both, lets neither be declared dead', function () {
 		const fleet = fleetOf(5);
-		cut(fleet, fleet.vms[1]!, fleet.vms[2]!);
+		dropMessages(fleet, fleet.vms[1]!, fleet.vms[2]!);
 		fleet.run(20_000);
 		const oneWay = views(fleet);
-		cut(fleet, fleet.vms[2]!, fleet.vms[1]!);
+		dropMessages(fleet, fleet.vms[2]!, fleet.vms[1]!);
 		fleet.run(20_000);
 		expect({oneWay, bothWays: views(fleet)}).toMatchSnapshot(this);
 	});
@@ -86,8 +86,8 @@
 		const fleet = fleetOf(4);
 		const isolated = fleet.vms[3]!;
 		for (const vm of fleet.vms) {
-			cut(fleet, vm, isolated);
-			cut(fleet, isolated, vm);
+			dropMessages(fleet, vm, isolated);
+			dropMessages(fleet, isolated, vm);
 		}
 
 		fleet.modeOf = vm => (vm === isolated ? 'down' : undefined);
@@ -98,17 +98,17 @@
 		const answer = isolated.engine.addresses('orders', fleet.now).addresses.length;
 		fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('meanwhile', [testService('orders')])});
 		fleet.run(500);
-		fleet.cuts.clear();
-		const lifted: number[] = [];
+		fleet.droppedLinks.clear();
+		const versionsWhenLifted: number[] = [];
 		fleet.onStep = () => {
 			if (!isolated.isCutOff) {
-				lifted.push(isolated.configuration!.version);
+				versionsWhenLifted.push(isolated.configuration!.version);
 			}
 		};
 
 		fleet.run(5000);
 		expect({
-			early, late, answer, versionWhenLifted: lifted[0], others: fleet.vms.slice(0, 3).map(({isCutOff}) => isCutOff),
+			early, late, answer, versionWhenLifted: versionsWhenLifted[0], others: fleet.vms.slice(0, 3).map(({isCutOff}) => isCutOff),
 		}).toMatchSnapshot(this);
 	});
 
--- a/src/common/fleet/membership/membership.ts
+++ b/src/common/fleet/membership/membership.ts
@@ -220,7 +220,7 @@
 		if (verdict !== 'live' && record.sequence >= this._own.sequence) {
 			this._own = {...this._own, sequence: record.sequence + 1};
 			this._context.log('warn', 'another VM took this VM for unreachable; the verdict is refuted', {verdict});
-			for (const member of this._context.pick(this.live, refutationTargets)) {
+			for (const member of this._context.pickRandom(this.live, refutationTargets)) {
 				this._send(member.record.peerAddress, {type: 'rumours'});
 			}
 		}
--- a/src/common/fleet/membership/prober.ts
+++ b/src/common/fleet/membership/prober.ts
@@ -149,7 +149,7 @@
 
 			if (this._probeOrder.length === 0) {
 				const all = [...this._membership.members].filter(([, {verdict}]) => verdict !== 'dead').map(([key]) => key);
-				this._probeOrder = this._context.pick(all, all.length);
+				this._probeOrder = this._context.pickRandom(all, all.length);
 			}
 		}
 
@@ -164,7 +164,7 @@
 
 		probe.isIndirect = true;
 		const relays = this._membership.live.filter(({record}) => record.identity !== probe.identity);
-		for (const {record} of this._context.pick(relays, indirectProbeCount)) {
+		for (const {record} of this._context.pickRandom(relays, indirectProbeCount)) {
 			this._send(record.peerAddress, {type: 'ping-request', nonce, target: probe.address});
 		}
 	}
@@ -174,7 +174,7 @@
 		const dead = [...this._membership.members.values()].filter(({record, verdict}) => verdict === 'dead' && !record.isLeaving).map(({record}) => record.peerAddress);
 		const candidates = [...new Set([...this._context.settings.seeds, ...this._listedAddresses, ...dead])]
 			.filter(address => address !== this._context.settings.peerAddress && !known.has(address));
-		for (const address of this._context.pick(candidates, joinTargets)) {
+		for (const address of this._context.pickRandom(candidates, joinTargets)) {
 			this._send(address, {type: 'join'});
 		}
 
--- a/src/common/fleet/peer-mailbox.ts
+++ b/src/common/fleet/peer-mailbox.ts
@@ -43,8 +43,8 @@
 			sender: this._membership.own,
 			...(storeContactAt === undefined ? {} : {storeContactAgeMilliseconds: now - storeContactAt}),
 			body,
-			members: isCarrier ? this._members(to, body) : [],
-			leaving: isCarrier ? this._leaving(body) : [],
+			members: isCarrier ? this._memberRumours(to, body) : [],
+			leaving: isCarrier ? this._leavingRumours(body) : [],
 			...(isCarrier && {leavingDigest: this._leavingSigns.digest()}),
 			updates: isCarrier ? this._loadUpdates.nextUpdates(maxLoadUpdateCharacters) : [],
 		};
@@ -70,7 +70,7 @@
 
 	/** Sends pending rumours to some live members at once, without waiting for the next probe. */
 	push(targets: number): void {
-		for (const {record} of this._context.pick(this._membership.live, targets)) {
+		for (const {record} of this._context.pickRandom(this._membership.live, targets)) {
 			this.send(record.peerAddress, {type: 'rumours'});
 		}
 	}
@@ -79,11 +79,11 @@
 	 * Guards a VM that joins late against sending calls to a leaving backend server: rumours are sent only a few times, so
 	 * it would never receive an earlier sign. The answer to a join holds all signs, up to the limit.
 	 */
-	private _leaving(body: PeerBody): PeerMessage['leaving'] {
+	private _leavingRumours(body: PeerBody): PeerMessage['leaving'] {
 		return body.type === 'members' || this._isSendingAllSigns ? this._leavingSigns.latest(maxLeavingSignsInAnswer) : this._leavingSigns.nextRumours(maxLeavingSigns);
 	}
 
-	private _members(to: PeerAddress, body: PeerBody): PeerMessage['members'] {
+	private _memberRumours(to: PeerAddress, body: PeerBody): PeerMessage['members'] {
 		return body.type === 'members' ? this._membership.allUpdates() : [...this._membership.verdictsAgainst(to), ...this._membership.nextRumours(maxMemberCharacters)];
 	}
 }
--- a/src/common/fleet/peer-receiver.ts
+++ b/src/common/fleet/peer-receiver.ts
@@ -12,7 +12,7 @@
 
 /** Components that handle the contents of peer messages. */
 export type ReceiverParts = {
-	readonly sender: PeerSender;
+	readonly peerSender: PeerSender;
 	readonly membership: Membership;
 	readonly prober: Prober;
 	readonly contactMonitor: ContactMonitor;
@@ -38,7 +38,7 @@
 			return;
 		}
 
-		this._parts.sender.messagesReceived += 1;
+		this._parts.peerSender.messagesReceived += 1;
 		this._parts.contactMonitor.recordPeerContact(sender.identity, message.storeContactAgeMilliseconds);
 		this._parts.membership.handleSender(sender);
 		this._parts.membership.mergeUpdates(message.members);
@@ -46,7 +46,7 @@
 			this._parts.leavingSigns.add({identity, instance, source: 'peer'}, ageMilliseconds);
 		}
 
-		this._parts.sender.syncLeavingSigns(sender.peerAddress, message.leavingDigest);
+		this._parts.peerSender.syncLeavingSigns(sender.peerAddress, message.leavingDigest);
 		for (const {identity, report, ageMilliseconds} of message.updates) {
 			if (report?.instance !== undefined && !report.isLeaving) {
 				this._parts.leavingSigns.handleReturn(identity, report.instance, ageMilliseconds);
@@ -81,7 +81,7 @@
 			}
 
 			case 'join': {
-				this._parts.sender.send(sender.peerAddress, {type: 'members'});
+				this._parts.peerSender.send(sender.peerAddress, {type: 'members'});
 				break;
 			}
 
--- a/src/common/fleet/shares/share-handover.ts
+++ b/src/common/fleet/shares/share-handover.ts
@@ -82,7 +82,7 @@
 	private _offerNext(): void {
 		const {slot} = this._holder;
 		const candidates = this._membership.live.filter(({record}) => !record.isLeaving && !record.holdsShare && record.peerAddress !== this._offeredTo);
-		const [successor] = this._context.pick(candidates, 1);
+		const [successor] = this._context.pickRandom(candidates, 1);
 		if (slot === undefined || !successor || this._offerCount >= maxOffers) {
 			this._holder.release();
 			this._finish();
--- a/src/common/fleet/shares/share-holder.ts
+++ b/src/common/fleet/shares/share-holder.ts
@@ -255,7 +255,7 @@
 			const claimedKeys = new Set(reply.entries.map(({key}) => key));
 			const freeSlots = Array.from({length: this._context.settings.shareSlots}, (_, slot) => slot).filter(slot => !claimedKeys.has(`${sharePrefix}${slot}`));
 			const preferred = freeSlots.find(slot => slot === this._preferredSlot);
-			const slot = preferred ?? this._context.pick(freeSlots, 1)[0];
+			const slot = preferred ?? this._context.pickRandom(freeSlots, 1)[0];
 			if (slot === undefined) {
 				this._revokeLeaseAndRetry(lease);
 			} else {
--- a/src/common/fleet/shares/shares.test.ts
+++ b/src/common/fleet/shares/shares.test.ts
@@ -10,35 +10,35 @@
 const windowMilliseconds = 10_000;
 
 /** An instant at which a VM used its slot's part of the budget. */
-type Spend = {readonly slot: number; readonly vm: string; readonly at: number};
+type SlotUse = {readonly slot: number; readonly vm: string; readonly at: number};
 
 /** Lets every VM use its slot whenever its own clock and its shares allow, at most every 200 ms, and records each use. */
-function recordSpends(fleet: FakeFleet): Spend[] {
-	const spends: Spend[] = [];
+function recordSlotUses(fleet: FakeFleet): SlotUse[] {
+	const slotUses: SlotUse[] = [];
 	const latest = new Map<string, number>();
 	fleet.onStep = () => {
 		for (const vm of fleet.vms) {
 			const {shares} = vm;
-			const mayCall = vm.isRunning && shares !== undefined && shares.measuringPart > 0 && fleet.now >= shares.measuringFrom && fleet.now < shares.measuringUntil;
-			if (mayCall && fleet.now - (latest.get(vm.name) ?? -1000) >= 200) {
+			const mayUse = vm.isRunning && shares !== undefined && shares.measuringPart > 0 && fleet.now >= shares.measuringFrom && fleet.now < shares.measuringUntil;
+			if (mayUse && fleet.now - (latest.get(vm.name) ?? -1000) >= 200) {
 				latest.set(vm.name, fleet.now);
-				spends.push({slot: vm.engine.status(fleet.now).shareSlot!, vm: vm.name, at: fleet.now});
+				slotUses.push({slot: vm.engine.status(fleet.now).shareSlot!, vm: vm.name, at: fleet.now});
 			}
 		}
 	};
 
-	return spends;
+	return slotUses;
 }
 
 /** Uses of one slot by two VMs within one window. There must be none, so that the slots' parts never exceed the budget. */
-function overlaps(spends: readonly Spend[]): Spend[][] {
-	const overlapping: Spend[][] = [];
+function overlaps(slotUses: readonly SlotUse[]): SlotUse[][] {
+	const overlapping: SlotUse[][] = [];
 	for (let slot = 0; slot < slots; slot += 1) {
-		const ordered = spends.filter(spend => spend.slot === slot);
-		for (const [index, spend] of ordered.entries()) {
-			const other = ordered.slice(index + 1).find(({vm, at}) => vm !== spend.vm && at - spend.at < windowMilliseconds);
+		const ordered = slotUses.filter(slotUse => slotUse.slot === slot);
+		for (const [index, slotUse] of ordered.entries()) {
+			const other = ordered.slice(index + 1).find(({vm, at}) => vm !== slotUse.vm && at - slotUse.at < windowMilliseconds);
 			if (other) {
-				overlapping.push([spend, other]);
+				overlapping.push([slotUse, other]);
 				break;
 			}
 		}
@@ -150,10 +150,10 @@
 	// window would send. VMs are paused beyond their leases, killed, replaced, cut off from the store, or lose replies, in
 	// any order and at once.
 	it('no slot is used by two VMs within a window under any faults', () => {
-		let spent = 0;
+		let useCount = 0;
 		fc.assert(fc.property(faults, fc.nat(1000), (list, seed) => {
 			const fleet = fleetOf(4, seed);
-			const spends = recordSpends(fleet);
+			const slotUses = recordSlotUses(fleet);
 			const random = seededRandom(seed);
 			for (const [index, fault] of list.entries()) {
 				apply(fleet, fault, index);
@@ -163,10 +163,10 @@
 			fleet.mode = 'up';
 			fleet.modeOf = () => undefined;
 			fleet.run(30_000);
-			spent += spends.length;
-			expect(overlaps(spends)).toEqual([]);
+			useCount += slotUses.length;
+			expect(overlaps(slotUses)).toEqual([]);
 		}), {seed: 11, numRuns: 60});
-		expect(spent).toBeGreaterThan(10_000);
+		expect(useCount).toBeGreaterThan(10_000);
 	});
 
 	// Guards the handover in a planned stop. If both VMs used the slot, or the receiver counted the grant from its arrival,
@@ -174,7 +174,7 @@
 	it('a stopping VM hands its slot to a VM without one, which uses it only a window later', function () {
 		const fleet = fleetOf(5, 2);
 		fleet.run(15_000);
-		const spends = recordSpends(fleet);
+		const slotUses = recordSlotUses(fleet);
 		fleet.mode = 'down';
 		const without = fleet.vms.find(vm => vm.engine.status(fleet.now).shareSlot === undefined)!;
 		const stopping = fleet.vms.find(vm => vm !== without)!;
@@ -182,11 +182,11 @@
 		fleet.dispatch(stopping, {type: 'stop-requested', by: 'signal'});
 		fleet.run(7000);
 		const handedOver = without.engine.status(fleet.now).shareSlot === slot;
-		const isSpentEarly = spends.some(({vm}) => vm === without.name);
+		const isUsedEarly = slotUses.some(({vm}) => vm === without.name);
 		fleet.mode = 'up';
 		fleet.run(30_000);
 		expect({
-			handedOver, early: isSpentEarly, late: spends.some(({vm}) => vm === without.name), overlaps: overlaps(spends),
+			handedOver, early: isUsedEarly, late: slotUses.some(({vm}) => vm === without.name), overlaps: overlaps(slotUses),
 		}).toMatchSnapshot(this);
 	});
 
--- a/src/common/fleet/stopping/stopping.test.ts
+++ b/src/common/fleet/stopping/stopping.test.ts
@@ -18,7 +18,7 @@
 	fleet.dispatch(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
 }
 
-function countVmsNaming(fleet: FakeFleet, vm: FakeVm): number {
+function countVmsReturning(fleet: FakeFleet, vm: FakeVm): number {
 	return fleet.vms.filter(({isGone}) => !isGone).filter(other => other.engine.addresses('orders', fleet.now).addresses.some(({address}) => address === vm.settings.callAddress)).length;
 }
 
@@ -33,7 +33,7 @@
 		const steps: string[] = [];
 		for (const second of [0, 1, 2, 4, 5, 6, 7, 3600]) {
 			fleet.run((second * 1000) + 8000 - fleet.now);
-			steps.push(`${second} s: ${vm.stages.at(-1)}, named by ${countVmsNaming(fleet, vm)}`);
+			steps.push(`${second} s: ${vm.stages.at(-1)}, named by ${countVmsReturning(fleet, vm)}`);
 		}
 
 		traffic(fleet, vm, 0);
--- a/src/common/fleet/test-utilities.test.ts
+++ b/src/common/fleet/test-utilities.test.ts
@@ -68,7 +68,7 @@
 	/** Mode for one operation; undefined = `mode` applies. */
 	modeOf: (vm: FakeVm, operation: StoreOperation) => StoreMode | undefined = () => undefined;
 	/** Pairs `from>to` of VM names; messages from the first to the second are dropped. */
-	readonly cuts = new Set<string>();
+	readonly droppedLinks = new Set<string>();
 	/** Copy of the store that stale reads return. */
 	staleEntries: ReadonlyMap<string, StoreEntry> = new Map();
 	onStep: () => void = () => undefined;
@@ -298,7 +298,7 @@
 
 	private _deliver(vm: FakeVm, {to, message}: FleetEffect & {readonly type: 'send'}): void {
 		const target = this.vms.findLast(({address, isGone}) => address === to && !isGone);
-		if (!target || this.cuts.has(`${vm.name}>${target.name}`)) {
+		if (!target || this.droppedLinks.has(`${vm.name}>${target.name}`)) {
 			this._deliverEvent(vm, 300, {type: 'peer-unreachable', to});
 			return;
 		}
--- a/src/proof/guards/guards.ts
+++ b/src/proof/guards/guards.ts
@@ -212,14 +212,14 @@
 	{
 		name: 'a VM that was away hears who leaves',
 		file: `${fleet}/peer-receiver.ts`,
-		text: '		this._parts.sender.syncLeavingSigns(sender.peerAddress, message.leavingDigest);',
+		text: '		this._parts.peerSender.syncLeavingSigns(sender.peerAddress, message.leavingDigest);',
 		replacement: '',
 		tests: fleetTests,
 	},
 	{
 		name: 'an old sign does not stop a returned process',
 		file: `${fleet}/leaving/leaving-signs.ts`,
-		text: 'if (isOld || this._signs',
+		text: 'if (isOutdated || this._signs',
 		replacement: 'if (this._signs',
 		tests: fleetTests,
 	},
