--- a/src/common/fleet/addresses/address-book.ts
+++ b/src/common/fleet/addresses/address-book.ts
@@ -26,7 +26,7 @@
 /** Maximum number of VMs in one answer: enough to survive the loss of a data centre, few enough for a caller to keep connections to all. */
 const maxAddresses = 8;
 
-/** Weight of a fully utilised VM relative to an idle one. It is above 0 because utilisation is out of date by the time callers act on it, all in the same way. */
+/** Weight of a fully utilised VM relative to an idle one. It is above 0 because utilisation is out of date by the time callers act on it, and all callers react alike. */
 const minWeight = 0.25;
 
 /** Utilisation of the caller's data centre above which other data centres receive more of its callers; at 1 all data centres are weighted equally. */
--- a/src/common/fleet/configuration/configuration.test.ts
+++ b/src/common/fleet/configuration/configuration.test.ts
@@ -64,7 +64,7 @@
 		fleet.modeOf = () => undefined;
 		change(fleet, fleet.vms[2]!, 'doubtful', 'orders');
 		fleet.run(5000);
-		expect({told: firstAnswers, again: fleet.vms[2]!.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
+		expect({firstAnswers, retryAnswers: fleet.vms[2]!.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
 	// Guards against a false "refused". A write is delayed in transit for 3 s, long after the wait for its reply has timed
@@ -97,7 +97,7 @@
 		const knownVersion = late.engine.resource('service/orders')!.metadata.version;
 		change(fleet, late, 'newest', 'orders', 2);
 		fleet.run(1000);
-		expect({known: knownVersion, answers: late.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
+		expect({knownVersion, answers: late.answers, inForce: inForce(fleet)}).toMatchSnapshot(this);
 	});
 
 	// Guards against a lost change when two operators change the same service through two VMs at once, each from version 1.
--- a/src/common/fleet/configuration/plan-change.ts
+++ b/src/common/fleet/configuration/plan-change.ts
@@ -97,12 +97,12 @@
 /** Returns the record that the change adds, or the negative answer to the operator. */
 export function planChange(view: ConfigurationView, change: OperatorChange): Result<ChangeRecord, OperatorAnswer> {
 	if (change.mutations.length === 0) {
-		return err(refused('empty-change', 'The change names no resource.'));
+		return err(refused('empty-change', 'The change contains no resource.'));
 	}
 
 	const duplicate = findDuplicate(change.mutations.map(mutation => keyOf(mutation)));
 	if (duplicate) {
-		return err(refused('repeated-resource', `The change names ${duplicate} more than once; make it again in a change of its own.`, duplicate));
+		return err(refused('repeated-resource', `The change contains ${duplicate} more than once; change it again in a separate change.`, duplicate));
 	}
 
 	const mutations: RecordedMutation[] = [];
--- a/src/common/fleet/leaving/leaving-signs.ts
+++ b/src/common/fleet/leaving/leaving-signs.ts
@@ -10,7 +10,7 @@
 /** Maximum number of signs; each takes about 100 bytes. Beyond it the oldest is removed, which has long reached all VMs. */
 const maxSigns = 10_000;
 
-/** A sign expires after this time; a server that is still leaving marks each of its responses, which adds a new sign. */
+/** A sign expires after this time; a server that is still leaving marks each of its responses, which adds the sign again. */
 const signTtlMilliseconds: Milliseconds = 600_000;
 
 /**
--- a/src/common/fleet/membership/membership.test.ts
+++ b/src/common/fleet/membership/membership.test.ts
@@ -39,10 +39,10 @@
 		for (let second = 1; second <= 10; second += 1) {
 			fleet.run(1000);
 			const answers = fleet.vms.filter(({isGone}) => !isGone).filter(vm => vm.engine.addresses('orders', fleet.now).addresses.some(({address}) => address === 'vm-2:2'));
-			answerCounts.push(`${second} s: named by ${answers.length}`);
+			answerCounts.push(`${second} s: returned by ${answers.length}`);
 		}
 
-		expect({named: answerCounts, views: views(fleet)}).toMatchSnapshot(this);
+		expect({answerCounts, views: views(fleet)}).toMatchSnapshot(this);
 	});
 
 	// Guards a healthy VM against being declared dead, and so losing its callers, when packets between it and one other
--- a/src/common/fleet/membership/membership.ts
+++ b/src/common/fleet/membership/membership.ts
@@ -219,7 +219,7 @@
 	private _refute(record: MemberRecord, verdict: Verdict): void {
 		if (verdict !== 'live' && record.sequence >= this._own.sequence) {
 			this._own = {...this._own, sequence: record.sequence + 1};
-			this._context.log('warn', 'another VM took this VM for unreachable; the verdict is refuted', {verdict});
+			this._context.log('warn', 'another VM reported this VM as unreachable; the verdict is refuted', {verdict});
 			for (const member of this._context.pickRandom(this.live, refutationTargets)) {
 				this._send(member.record.peerAddress, {type: 'rumours'});
 			}
--- a/src/common/fleet/membership/prober.ts
+++ b/src/common/fleet/membership/prober.ts
@@ -1,6 +1,6 @@
 /**
  * Failure detector in the manner of SWIM: each VM probes one member at a time, so its cost does not grow with the size of
- * the fleet. It also sends joins to known addresses at which no live member is recorded.
+ * the fleet. It also sends joins to addresses at which no live member is recorded.
  */
 import {type Instant, type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
--- a/src/common/fleet/peer-messages.ts
+++ b/src/common/fleet/peer-messages.ts
@@ -43,7 +43,7 @@
 });
 export type LeavingRumour = z.infer<typeof leavingRumourSchema>;
 
-/** Load report or crash of one backend server. */
+/** Load report of one backend server, or its crash with the fingerprints of the calls that were in flight. */
 export const loadUpdateSchema = z.strictObject({
 	identity: identitySchema,
 	report: z.strictObject({
--- a/src/common/fleet/stopping/stopping.test.ts
+++ b/src/common/fleet/stopping/stopping.test.ts
@@ -33,7 +33,7 @@
 		const steps: string[] = [];
 		for (const second of [0, 1, 2, 4, 5, 6, 7, 3600]) {
 			fleet.run((second * 1000) + 8000 - fleet.now);
-			steps.push(`${second} s: ${vm.stages.at(-1)}, named by ${countVmsReturning(fleet, vm)}`);
+			steps.push(`${second} s: ${vm.stages.at(-1)}, returned by ${countVmsReturning(fleet, vm)}`);
 		}
 
 		traffic(fleet, vm, 0);
@@ -72,9 +72,9 @@
 
 		expect({
 			old: fleet.vms.slice(0, 6).map(({stages}) => stages.at(-1)),
-			fresh: fleet.vms.slice(6).map(vm => `${vm.stages.at(-1)} ${vm.configuration?.version} ${vm.configuration?.backendServers.size} ${vm.isCutOff}`),
+			replacements: fleet.vms.slice(6).map(vm => `${vm.stages.at(-1)} ${vm.configuration?.version} ${vm.configuration?.backendServers.size} ${vm.isCutOff}`),
 			slots: new Set(fleet.vms.slice(6).map(vm => vm.engine.status(fleet.now).shareSlot)).size,
-			fewest: minAddressCounts,
+			minAddressCounts,
 		}).toMatchSnapshot(this);
 	});
 });
--- a/src/common/fleet/types.ts
+++ b/src/common/fleet/types.ts
@@ -171,7 +171,7 @@
 export type FleetEffect
 	= | {readonly type: 'store'; readonly requestId: number; readonly operation: StoreOperation}
 		| {readonly type: 'send'; readonly to: PeerAddress; readonly message: PeerMessage}
-	/** Subscribe to the registry feed of this VM only; undefined = to no feed. */
+	/** Subscribe to the registry feed of the VM at `source`, and to no other; undefined = to no feed. */
 		| {readonly type: 'follow-feed'; readonly source: PeerAddress | undefined}
 	/** Send the frame to the VMs that follow this VM's feed. */
 		| {readonly type: 'publish-feed'; readonly frame: FeedFrame}
