--- a/src/common/fleet/configuration/configuration-reader.ts
+++ b/src/common/fleet/configuration/configuration-reader.ts
@@ -1,4 +1,4 @@
-/** Keeps this VM's configuration up with the head in the platform's service: reads, watches, loads snapshots. */
+/** Keeps this VM's configuration up to date with the head in the platform's service: polls, watches and loads snapshots. */
 import {ok, type Result} from 'neverthrow';
 import {describeFailure, type Failure} from '../../errors/failure.ts';
 import {type StoredResource} from '../../model/resources.ts';
@@ -9,53 +9,53 @@
 	type ConfigurationHead, decodeHead, decodeShard, emptyHead, headKey, type HeadFailureKind,
 } from './head.ts';
 
-/** A head as read, with the revision that a compare-and-swap on it names. */
+/** A head with its revision in the store, which a compare-and-swap on it must name. */
 export type HeadBase = {
 	readonly revision: number;
 	readonly head: ConfigurationHead;
-	/** It came from a compare-and-swap, which no stale replica answers. */
+	/** True if the head came from a compare-and-swap, which a stale replica cannot answer. */
 	readonly isConfirmed: boolean;
 };
 
-/** A waiting watch counts as one call; long ones cost the service least and tell as soon as short ones. */
-const watchMilliseconds = 20_000;
+/** Duration of one watch. A waiting watch counts as one call, and a long one reports changes as fast as a short one, so long watches cost the service least. */
+const watchTimeoutMilliseconds = 20_000;
 
-/** First and longest wait after a failed read or watch: an outage must not be met by a storm of reads. */
-const firstRetryMilliseconds = 250;
-const longestRetryMilliseconds = 2000;
+/** Initial and maximum delay of the exponential back-off after a failed read or watch, which avoids a flood of reads during an outage. */
+const initialRetryMilliseconds = 250;
+const maxRetryMilliseconds = 2000;
 
-/** A VM that doesn't watch still reads the head now and then, should its peers be wrong about who watches. */
-const pollMilliseconds = 30_000;
+/** Interval at which each VM reads the head, even if it does not watch: its peers may disagree on which VMs watch. */
+const pollIntervalMilliseconds = 30_000;
 
-/** Without any live peer the store's answers are the only proof that the configuration is not old. */
-const lonelyPollMilliseconds = 2000;
-const pollCheckMilliseconds = 1000;
+/** Interval without a live peer, when replies of the store are the only evidence that the configuration is up to date. */
+const isolatedPollIntervalMilliseconds = 2000;
+const pollCheckIntervalMilliseconds = 1000;
 
 type ReadOutcome = 'read' | 'failed';
 
 export class ConfigurationReader {
-	private readonly _isLonely: () => boolean;
+	private readonly _hasNoLivePeer: () => boolean;
 	private _lastReadAt = 0;
 	private _base: HeadBase | undefined;
 	private _isWatching = false;
-	private _isWatchWaiting = false;
-	private _failures = 0;
-	private _loading: Array<(outcome: ReadOutcome) => void> | undefined;
+	private _isWatchPending = false;
+	private _consecutiveFailures = 0;
+	private _loadCallbacks: Array<(outcome: ReadOutcome) => void> | undefined;
 
 	constructor(
 		private readonly _context: FleetContext,
 		private readonly _state: ConfigurationState,
-		/** Called whenever the configuration in force has moved forward. */
+		/** Called whenever a newer configuration has come into force. */
 		private readonly _onAdopted: () => void,
-		/** Whether an empty service may be believed: a stale replica shows one too. */
-		private readonly _mayStartEmpty: () => boolean,
-		/** Whether no other VM answers. */
-		isLonely: () => boolean,
+		/** Whether a missing head may be adopted as an empty configuration; a stale replica may lack the head too. */
+		private readonly _mayAdoptEmpty: () => boolean,
+		/** Whether no other VM is live. */
+		hasNoLivePeer: () => boolean,
 	) {
-		this._isLonely = isLonely;
+		this._hasNoLivePeer = hasNoLivePeer;
 	}
 
-	/** The newest head seen. */
+	/** The newest head seen so far. */
 	get base(): HeadBase | undefined {
 		return this._base;
 	}
@@ -68,7 +68,7 @@
 		this._poll();
 	}
 
-	/** Whether this VM is one of the few that watch. */
+	/** Starts watching the head, or stops after the watch in progress. */
 	setWatching(isWatching: boolean): void {
 		this._isWatching = isWatching;
 		if (isWatching) {
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** Asks for the head; `entry` is undefined in a reply that has none. */
+	/** Reads the head; a missing head counts as version 0. */
 	readHead(onDone: (outcome: ReadOutcome, base: HeadBase | undefined) => void): void {
 		this._context.requestStore({type: 'get', key: headKey}, reply => {
 			if (reply.type !== 'entry') {
@@ -89,11 +89,11 @@
 		});
 	}
 
-	/** Takes note of a head, from whatever source, and moves forward if it is newer. */
+	/** Decodes a head from any source and catches up if it is newer; undefined if the head is invalid. */
 	observe(entry: StoreEntry | undefined, isConfirmed: boolean): HeadBase | undefined {
 		const decoded: Result<ConfigurationHead, Failure<HeadFailureKind>> = entry ? decodeHead(entry.value) : ok(emptyHead);
 		if (decoded.isErr()) {
-			this._context.log('error', 'The configuration in the platform\'s service can\'t be read', {failure: describeFailure(decoded.error)});
+			this._context.log('error', 'the configuration head in the platform\'s service is invalid; the configuration in force stays', {failure: describeFailure(decoded.error)});
 			return undefined;
 		}
 
@@ -102,7 +102,7 @@
 		return base;
 	}
 
-	/** As `observe`, for a head that this VM has just written. */
+	/** Like `observe`, for a decoded head. */
 	observeBase(base: HeadBase): void {
 		if (!this._base || base.revision >= this._base.revision) {
 			this._base = base;
@@ -110,23 +110,23 @@
 		}
 	}
 
-	/** Takes over a whole configuration that this VM has just written, and tells so like any other step forward. */
+	/** Adopts a whole configuration that this VM has just written, and reports it through `onAdopted` like any other new version. */
 	adoptWritten(version: number, resources: Iterable<StoredResource>, records: ConfigurationHead['records']): void {
 		if (this._state.replace(version, resources, records)) {
 			this._onAdopted();
 		}
 	}
 
-	/** Brings the configuration in force up to the newest head seen. */
+	/** Brings the configuration in force up to the newest head seen, loading the snapshot if necessary. */
 	catchUp(onDone: (outcome: ReadOutcome) => void): void {
 		const head = this._base?.head;
-		if (!head || (this._state.isKnown && head.version <= this._state.version)) {
+		if (!head || (this._state.isLoaded && head.version <= this._state.version)) {
 			onDone(head ? 'read' : 'failed');
 			return;
 		}
 
 		if (head.version === 0) {
-			this._startEmpty();
+			this._adoptEmpty();
 			onDone('read');
 			return;
 		}
@@ -143,19 +143,19 @@
 		this._loadSnapshot(head, onDone);
 	}
 
-	private _startEmpty(): void {
-		if (this._mayStartEmpty() && this._state.replace(0, [], [])) {
+	private _adoptEmpty(): void {
+		if (this._mayAdoptEmpty() && this._state.replace(0, [], [])) {
 			this._onAdopted();
 		}
 	}
 
 	private _loadSnapshot(head: ConfigurationHead, onDone: (outcome: ReadOutcome) => void): void {
-		if (this._loading) {
-			this._loading.push(onDone);
+		if (this._loadCallbacks) {
+			this._loadCallbacks.push(onDone);
 			return;
 		}
 
-		this._loading = [onDone];
+		this._loadCallbacks = [onDone];
 		const resources: StoredResource[] = [];
 		this._loadShard(head, 0, resources);
 	}
@@ -170,7 +170,7 @@
 		this._context.requestStore({type: 'get', key: shard.key}, reply => {
 			const decoded = reply.type === 'entry' && reply.entry ? decodeShard(reply.entry.value) : undefined;
 			if (!decoded?.isOk()) {
-				// Gone because a newer snapshot replaced it, or the service is out: the next read of the head tells.
+				// Either a newer snapshot has replaced this one, or the service is unavailable; the next read of the head shows which.
 				this._endLoading('failed');
 				this._retryLater();
 				return;
@@ -182,8 +182,8 @@
 	}
 
 	private _finishLoading(head: ConfigurationHead, resources: readonly StoredResource[]): void {
-		const upTo = head.records.filter(record => record.version <= head.snapshot.version);
-		const isReplaced = this._state.replace(head.snapshot.version, resources, upTo);
+		const snapshotRecords = head.records.filter(record => record.version <= head.snapshot.version);
+		const isReplaced = this._state.replace(head.snapshot.version, resources, snapshotRecords);
 		const isAdopted = this._state.adopt(head.records);
 		if (isReplaced || isAdopted) {
 			this._onAdopted();
@@ -194,9 +194,9 @@
 	}
 
 	private _endLoading(outcome: ReadOutcome): void {
-		const waiting = this._loading ?? [];
-		this._loading = undefined;
-		for (const onDone of waiting) {
+		const callbacks = this._loadCallbacks ?? [];
+		this._loadCallbacks = undefined;
+		for (const onDone of callbacks) {
 			onDone(outcome);
 		}
 	}
@@ -208,7 +208,7 @@
 				return;
 			}
 
-			this._failures = 0;
+			this._consecutiveFailures = 0;
 			this._lastReadAt = this._context.now;
 			this._scheduleCheck();
 			this._watch();
@@ -216,10 +216,10 @@
 	}
 
 	private _scheduleCheck(): void {
-		const wait = this._state.isKnown ? pollCheckMilliseconds : firstRetryMilliseconds;
+		const wait = this._state.isLoaded ? pollCheckIntervalMilliseconds : initialRetryMilliseconds;
 		this._context.timers.set('configuration-poll', this._context.now + this._context.jitter(wait), () => {
-			const interval = this._isLonely() ? lonelyPollMilliseconds : pollMilliseconds;
-			if (!this._state.isKnown || this._context.now - this._lastReadAt >= interval) {
+			const interval = this._hasNoLivePeer() ? isolatedPollIntervalMilliseconds : pollIntervalMilliseconds;
+			if (!this._state.isLoaded || this._context.now - this._lastReadAt >= interval) {
 				this._poll();
 			} else {
 				this._scheduleCheck();
@@ -228,34 +228,34 @@
 	}
 
 	private _retryLater(): void {
-		const wait = Math.min(longestRetryMilliseconds, firstRetryMilliseconds * (2 ** Math.min(this._failures, 8)));
-		this._failures += 1;
+		const wait = Math.min(maxRetryMilliseconds, initialRetryMilliseconds * (2 ** Math.min(this._consecutiveFailures, 8)));
+		this._consecutiveFailures += 1;
 		this._context.timers.set('configuration-poll', this._context.now + this._context.jitter(wait), () => {
 			this._poll();
 		});
 	}
 
 	private _watch(): void {
-		if (!this._isWatching || this._isWatchWaiting || !this._base) {
+		if (!this._isWatching || this._isWatchPending || !this._base) {
 			return;
 		}
 
-		this._isWatchWaiting = true;
+		this._isWatchPending = true;
 		this._context.requestStore({
-			type: 'watch', prefix: headKey, after: this._base.revision, milliseconds: watchMilliseconds,
+			type: 'watch', prefix: headKey, after: this._base.revision, milliseconds: watchTimeoutMilliseconds,
 		}, reply => {
-			this._isWatchWaiting = false;
-			this._takeWatchReply(reply);
+			this._isWatchPending = false;
+			this._handleWatchReply(reply);
 		});
 	}
 
-	private _takeWatchReply(reply: StoreReply): void {
+	private _handleWatchReply(reply: StoreReply): void {
 		if (reply.type !== 'changes') {
 			this._retryLater();
 			return;
 		}
 
-		this._failures = 0;
+		this._consecutiveFailures = 0;
 		for (const entry of reply.entries) {
 			if (entry.key === headKey) {
 				this.observe(entry, false);
--- a/src/common/fleet/configuration/plan-change.ts
+++ b/src/common/fleet/configuration/plan-change.ts
@@ -1,4 +1,4 @@
-/** Decides whether an operator's change fits the configuration it meets, and what it comes to. */
+/** Validates an operator's change against a configuration and computes the record that the change adds. */
 import {err, ok, type Result} from 'neverthrow';
 import {failure} from '../../errors/failure.ts';
 import {type ResourceKey, resourceKey, type StoredResource} from '../../model/resources.ts';
@@ -8,7 +8,7 @@
 } from '../types.ts';
 import {applyMutations, mutationKey} from './configuration-state.ts';
 
-/** The configuration that a change meets. */
+/** The configuration to which a change is applied. */
 export type ConfigurationView = {
 	readonly version: ConfigurationVersion;
 	readonly resources: ReadonlyMap<ResourceKey, StoredResource>;
@@ -35,7 +35,7 @@
 	return mutation.type === 'put' ? resourceKey(mutation.resource) : mutation.key;
 }
 
-function findRepeated(keys: readonly ResourceKey[]): ResourceKey | undefined {
+function findDuplicate(keys: readonly ResourceKey[]): ResourceKey | undefined {
 	const seen = new Set<ResourceKey>();
 	return keys.find(key => seen.size === seen.add(key).size);
 }
@@ -61,13 +61,13 @@
 	}
 
 	if (!current) {
-		return err(refused('not-found', `There is no ${key} to delete.`, key));
+		return err(refused('not-found', `The resource ${key} cannot be deleted because it does not exist.`, key));
 	}
 
 	return ok({type: 'delete', kind: current.resource.kind, name: current.resource.name});
 }
 
-/** What stands after the change must hang together: no backend server or rule without its service. */
+/** Checks references after the change: every backend server and sharing rule needs its service. */
 function checkReferences(view: ConfigurationView, record: ChangeRecord): OperatorAnswer | undefined {
 	const after = new Map(view.resources);
 	applyMutations(after, record);
@@ -79,30 +79,30 @@
 	}
 
 	const deletions = record.mutations.filter(mutation => mutation.type === 'delete' && mutation.kind === 'service');
-	const deleted = new Set(deletions.map(mutation => mutationKey(mutation)));
-	if (deleted.size === 0) {
+	const deletedServices = new Set(deletions.map(mutation => mutationKey(mutation)));
+	if (deletedServices.size === 0) {
 		return undefined;
 	}
 
 	for (const {resource} of after.values()) {
-		if (resource.kind !== 'service' && deleted.has(`service/${resource.service}`)) {
-			const what = `The service "${resource.service}" still has the ${resource.kind} "${resource.name}"`;
-			return refused('service-in-use', `${what}; delete that first or in the same change.`, `service/${resource.service}`);
+		if (resource.kind !== 'service' && deletedServices.has(`service/${resource.service}`)) {
+			const blocker = `The service "${resource.service}" still has the ${resource.kind} "${resource.name}"`;
+			return refused('service-in-use', `${blocker}; delete that first or in the same change.`, `service/${resource.service}`);
 		}
 	}
 
 	return undefined;
 }
 
-/** The record that the change would add, or the answer to its operator. */
+/** Returns the record that the change adds, or the negative answer to the operator. */
 export function planChange(view: ConfigurationView, change: OperatorChange): Result<ChangeRecord, OperatorAnswer> {
 	if (change.mutations.length === 0) {
-		return err(refused('empty-change', 'The change names no resource.'));
+		return err(refused('empty-change', 'The change contains no resource.'));
 	}
 
-	const repeated = findRepeated(change.mutations.map(mutation => keyOf(mutation)));
-	if (repeated) {
-		return err(refused('repeated-resource', `The change names ${repeated} more than once; make it again in a change of its own.`, repeated));
+	const duplicate = findDuplicate(change.mutations.map(mutation => keyOf(mutation)));
+	if (duplicate) {
+		return err(refused('repeated-resource', `The change contains ${duplicate} more than once; change it again in a separate change.`, duplicate));
 	}
 
 	const mutations: RecordedMutation[] = [];
@@ -118,6 +118,6 @@
 	const record: ChangeRecord = {
 		version: view.version + 1, operationId: change.operationId, who: change.who, when: change.when, note: change.note, mutations,
 	};
-	const broken = checkReferences(view, record);
-	return broken ? err(broken) : ok(record);
+	const referenceError = checkReferences(view, record);
+	return referenceError ? err(referenceError) : ok(record);
 }
--- a/src/common/fleet/membership/membership.ts
+++ b/src/common/fleet/membership/membership.ts
@@ -1,40 +1,40 @@
 /**
- * Which VMs there are, as far as this one can tell, in the manner of SWIM (Das, Gupta, Motivala 2002): records
- * that only their owners raise, verdicts of others, rumours with a bounded number of sends. No promise rests
- * on this knowledge: it only ever is an estimate.
+ * Membership of the fleet by SWIM (Das, Gupta, Motivala 2002). Each VM alone increments the sequence of its own record;
+ * other VMs attach verdicts to that record; both spread as rumours, each sent a bounded number of times. The member list
+ * is only an estimate: no correctness guarantee may depend on it.
  */
 import {type Instant, type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
 import {type MemberRecord, type MemberUpdate, type PeerBody} from '../peer-messages.ts';
 import {type PeerAddress, type VmIdentity} from '../types.ts';
 
-/** From suspicion to death; time for a live VM to hear of it and refute. */
-const suspicionMilliseconds: Milliseconds = 3000;
+/** A suspected member is declared dead after this time, in which a live VM can receive the suspicion and refute it. */
+const suspicionTimeoutMilliseconds: Milliseconds = 3000;
 
-/** Dead members are kept so long, to tell a late rumour from a new member; then forgotten. */
-const deadMemoryMilliseconds: Milliseconds = 600_000;
+/** Dead members are kept for this time, so that a late rumour about one is not mistaken for a new member. */
+const deadMemberRetentionMilliseconds: Milliseconds = 600_000;
 
-/** Others told at once when this VM refutes a verdict on itself. */
+/** Number of members notified at once when this VM refutes a verdict on itself. */
 const refutationTargets = 3;
 
 export type Verdict = MemberUpdate['verdict'];
 
-/** A VM as known here. */
+/** Another VM as recorded by this VM. */
 export type Member = {
 	record: MemberRecord;
 	verdict: Verdict;
-	/** When this VM last had a message from it. */
-	heardAt: Instant;
-	/** When the verdict was last changed. */
-	judgedAt: Instant;
-	/** Sends of the latest rumour about it; it is passed on until this reaches the limit. */
-	timesSent: number;
+	/** When this VM last received a message from the member, or else added it. */
+	lastMessageAt: Instant;
+	/** When the verdict was last set. */
+	verdictChangedAt: Instant;
+	/** How often the latest rumour about the member was sent; it is sent until this count reaches the limit. */
+	sendCount: number;
 };
 
-const verdictRank: Readonly<Record<Verdict, number>> = {live: 0, suspected: 1, dead: 2};
+const verdictSeverity: Readonly<Record<Verdict, number>> = {live: 0, suspected: 1, dead: 2};
 
-/** Largest number of members in one answer to a join; the rest follows by rumours. */
-export const mostMembersInAnswer = 256;
+/** Maximum number of members in one answer to a join; the others follow as rumours. */
+export const maxMembersInJoinAnswer = 256;
 
 export class Membership {
 	private readonly _members = new Map<VmIdentity, Member>();
@@ -65,12 +65,12 @@
 		return this._own;
 	}
 
-	/** All known VMs but this one. */
+	/** All known VMs except this one. */
 	get members(): ReadonlyMap<VmIdentity, Member> {
 		return this._members;
 	}
 
-	/** Members that answer, leaving ones included. */
+	/** Members with the verdict `live`, including those that are leaving. */
 	get live(): readonly Member[] {
 		if (this._live.revision !== this._revision) {
 			this._live = {revision: this._revision, members: [...this._members.values()].filter(({verdict}) => verdict === 'live')};
@@ -79,17 +79,17 @@
 		return this._live.members;
 	}
 
-	/** Grows whenever a member comes, goes, is judged anew or says something new; not with utilisation alone. */
+	/** Increases whenever a member is added or removed, or its verdict or record changes. A change of utilisation alone does not count. */
 	get revision(): number {
 		return this._revision;
 	}
 
-	/** True if other VMs are known to exist that have not left in the planned way. */
+	/** True if another VM is known that has not announced a planned stop. */
 	get hasOthers(): boolean {
 		return [...this._members.values()].some(({record}) => !record.isLeaving);
 	}
 
-	/** Changes what this VM says of itself. Utilisation alone rides on messages and is no rumour. */
+	/** Updates this VM's own record. A change of utilisation alone is sent with the next messages, but is not spread as a rumour. */
 	updateOwn(change: Partial<MemberRecord>): void {
 		const changed = {...this._own, ...change};
 		const isNew = changed.isLeaving !== this._own.isLeaving || changed.isServing !== this._own.isServing
@@ -97,13 +97,13 @@
 		this._own = isNew ? {...changed, sequence: this._own.sequence + 1} : changed;
 	}
 
-	/** Any message is a sign of life of its sender. */
-	takeSender(record: MemberRecord): void {
+	/** Records the sender of any message as live. */
+	handleSender(record: MemberRecord): void {
 		if (record.identity === this._own.identity) {
 			return;
 		}
 
-		this._retireFormerProcess(record);
+		this._markPreviousProcessDead(record);
 		const known = this._members.get(record.identity);
 		if (!known) {
 			this._add(record, 'live');
@@ -114,82 +114,82 @@
 			return;
 		}
 
-		const isJudged = known.verdict !== 'live' && record.sequence === known.record.sequence;
+		const hasAdverseVerdict = known.verdict !== 'live' && record.sequence === known.record.sequence;
 		const isNew = record.sequence > known.record.sequence || known.verdict !== 'live';
 		known.record = record;
-		known.heardAt = this._context.now;
-		if (isJudged) {
-			// It lives, but others were told otherwise. Told so, it raises its sequence, which refutes it everywhere.
+		known.lastMessageAt = this._context.now;
+		if (hasAdverseVerdict) {
+			// The member is alive, but a rumour says otherwise. On receiving that verdict it raises its sequence, which refutes the verdict on all VMs.
 			this._send(record.peerAddress, {type: 'rumours'});
 		}
 
 		if (isNew) {
-			this._judge(known, 'live');
+			this._setVerdict(known, 'live');
 		}
 	}
 
-	/** Rumours that came with a message. */
-	takeUpdates(updates: readonly MemberUpdate[]): void {
+	/** Merges the rumours that came with a message. */
+	mergeUpdates(updates: readonly MemberUpdate[]): void {
 		for (const update of updates) {
-			this._takeUpdate(update);
+			this._mergeUpdate(update);
 		}
 	}
 
-	/** An unanswered probe: the member is suspected, and gets time to refute. */
+	/** Marks a live member as suspected after an unanswered probe; it is declared dead unless it refutes the suspicion in time. */
 	suspect(identity: VmIdentity): void {
 		const member = this._members.get(identity);
 		if (member?.verdict === 'live') {
-			this._judge(member, 'suspected');
+			this._setVerdict(member, 'suspected');
 		}
 	}
 
-	/** Starts the time to refute anew for all that are suspected. */
-	prolongSuspicions(): void {
+	/** Restarts the suspicion timeout of every suspected member. */
+	restartSuspicionTimeouts(): void {
 		for (const member of this._members.values()) {
 			if (member.verdict === 'suspected') {
-				member.judgedAt = this._context.now;
+				member.verdictChangedAt = this._context.now;
 			}
 		}
 	}
 
-	/** Rumours worth sending, the least sent first, at most `characters` long in JSON. */
-	takeRumours(characters: number): MemberUpdate[] {
-		const limit = this._sendLimit();
-		const waiting = [...this._members.values()].filter(({timesSent}) => timesSent < limit).toSorted((a, b) => a.timesSent - b.timesSent);
+	/** Rumours below the send limit, the least sent first, at most `characters` long in JSON. Counts them as sent. */
+	nextRumours(characters: number): MemberUpdate[] {
+		const limit = this._maxSends();
+		const pending = [...this._members.values()].filter(({sendCount}) => sendCount < limit).toSorted((a, b) => a.sendCount - b.sendCount);
 		const updates: MemberUpdate[] = [];
-		let room = characters;
-		for (const member of waiting) {
+		let remainingCharacters = characters;
+		for (const member of pending) {
 			const update = {record: member.record, verdict: member.verdict};
-			room -= JSON.stringify(update).length;
-			if (room < 0) {
+			remainingCharacters -= JSON.stringify(update).length;
+			if (remainingCharacters < 0) {
 				break;
 			}
 
-			member.timesSent += 1;
+			member.sendCount += 1;
 			updates.push(update);
 		}
 
 		return updates;
 	}
 
-	/** Everybody known, for a VM that joins. */
+	/** All members that are not dead, up to the limit, for a VM that joins. */
 	allUpdates(): MemberUpdate[] {
-		return [...this._members.values()].filter(({verdict}) => verdict !== 'dead').slice(0, mostMembersInAnswer).map(({record, verdict}) => ({record, verdict}));
+		return [...this._members.values()].filter(({verdict}) => verdict !== 'dead').slice(0, maxMembersInJoinAnswer).map(({record, verdict}) => ({record, verdict}));
 	}
 
-	/** The verdict against the member at an address, which it should hear itself. */
-	verdictAgainst(address: PeerAddress): MemberUpdate[] {
+	/** Verdicts other than `live` on members at an address. They are sent to that member, which can refute them. */
+	verdictsAgainst(address: PeerAddress): MemberUpdate[] {
 		return [...this._members.values()]
 			.filter(({record, verdict}) => record.peerAddress === address && verdict !== 'live')
 			.map(({record, verdict}) => ({record, verdict}));
 	}
 
-	/** A rumour reaches all of n members with high probability after a multiple of log2(n) sends by each. */
-	private _sendLimit(): number {
+	/** Sends per rumour: it reaches all of n members with high probability if each sends it a multiple of log2(n) times. */
+	private _maxSends(): number {
 		return 2 * Math.ceil(Math.log2(this._members.size + 2));
 	}
 
-	private _takeUpdate({record, verdict}: MemberUpdate): void {
+	private _mergeUpdate({record, verdict}: MemberUpdate): void {
 		if (record.identity === this._own.identity) {
 			this._refute(record, verdict);
 			return;
@@ -205,32 +205,32 @@
 		}
 
 		const isNewer = record.sequence > known.record.sequence;
-		const isWorse = record.sequence === known.record.sequence && verdictRank[verdict] > verdictRank[known.verdict];
+		const isMoreSevere = record.sequence === known.record.sequence && verdictSeverity[verdict] > verdictSeverity[known.verdict];
 		if (isNewer) {
 			known.record = record;
 		}
 
-		if (isNewer || isWorse) {
-			this._judge(known, verdict);
+		if (isNewer || isMoreSevere) {
+			this._setVerdict(known, verdict);
 		}
 	}
 
-	/** Guard against a false verdict on this very VM: a higher sequence is its word that it lives. */
+	/** Guards against a false verdict on this VM: a record with a higher sequence overrides the verdict on all VMs. */
 	private _refute(record: MemberRecord, verdict: Verdict): void {
 		if (verdict !== 'live' && record.sequence >= this._own.sequence) {
 			this._own = {...this._own, sequence: record.sequence + 1};
-			this._context.log('warn', 'Others took this VM for unreachable', {verdict});
-			for (const member of this._context.pick(this.live, refutationTargets)) {
+			this._context.log('warn', 'another VM reported this VM as unreachable; the verdict is refuted', {verdict});
+			for (const member of this._context.pickRandom(this.live, refutationTargets)) {
 				this._send(member.record.peerAddress, {type: 'rumours'});
 			}
 		}
 	}
 
-	/** A new process under a member's address: the former one has ended. */
-	private _retireFormerProcess(record: MemberRecord): void {
+	/** A new process under a member's address shows that the previous process has ended. */
+	private _markPreviousProcessDead(record: MemberRecord): void {
 		for (const member of this._members.values()) {
 			if (member.record.peerAddress === record.peerAddress && member.record.identity !== record.identity && member.verdict !== 'dead') {
-				this._judge(member, 'dead');
+				this._setVerdict(member, 'dead');
 			}
 		}
 	}
@@ -238,26 +238,26 @@
 	private _add(record: MemberRecord, verdict: Verdict): void {
 		const {now} = this._context;
 		const member: Member = {
-			record, verdict, heardAt: now, judgedAt: now, timesSent: 0,
+			record, verdict, lastMessageAt: now, verdictChangedAt: now, sendCount: 0,
 		};
 		this._members.set(record.identity, member);
 		this._revision += 1;
-		this._watchSuspicion(member);
+		this._scheduleVerdictExpiry(member);
 	}
 
-	private _judge(member: Member, verdict: Verdict): void {
+	private _setVerdict(member: Member, verdict: Verdict): void {
 		if (member.verdict !== verdict) {
-			this._context.log(verdict === 'live' ? 'info' : 'warn', 'A member changed state', {member: member.record.identity, address: member.record.peerAddress, verdict});
+			this._context.log(verdict === 'live' ? 'info' : 'warn', 'the state of a member changed', {member: member.record.identity, address: member.record.peerAddress, verdict});
 		}
 
 		this._revision += 1;
 		member.verdict = verdict;
-		member.judgedAt = this._context.now;
-		member.timesSent = 0;
-		this._watchSuspicion(member);
+		member.verdictChangedAt = this._context.now;
+		member.sendCount = 0;
+		this._scheduleVerdictExpiry(member);
 	}
 
-	private _watchSuspicion(member: Member): void {
+	private _scheduleVerdictExpiry(member: Member): void {
 		const {identity} = member.record;
 		const name = `member-${identity}`;
 		this._context.timers.clear(name);
@@ -265,15 +265,15 @@
 			return;
 		}
 
-		const wait = member.verdict === 'suspected' ? suspicionMilliseconds : deadMemoryMilliseconds;
-		this._context.timers.set(name, member.judgedAt + wait, () => {
+		const wait = member.verdict === 'suspected' ? suspicionTimeoutMilliseconds : deadMemberRetentionMilliseconds;
+		this._context.timers.set(name, member.verdictChangedAt + wait, () => {
 			if (member.verdict === 'dead') {
 				this._members.delete(identity);
 				this._revision += 1;
-			} else if (this._context.now < member.judgedAt + suspicionMilliseconds) {
-				this._watchSuspicion(member);
+			} else if (this._context.now < member.verdictChangedAt + suspicionTimeoutMilliseconds) {
+				this._scheduleVerdictExpiry(member);
 			} else {
-				this._judge(member, 'dead');
+				this._setVerdict(member, 'dead');
 			}
 		});
 	}
--- a/src/common/fleet/shares/share-handover.ts
+++ b/src/common/fleet/shares/share-handover.ts
@@ -1,4 +1,4 @@
-/** A planned stop hands the share slot to another VM, also in an outage of the store: offer, acceptance, grant. */
+/** Hands the share slot to another VM in a planned stop, by offer, acceptance and grant. Needs no store, so it works in an outage. */
 import {type Instant, type Milliseconds} from '../../model/units.ts';
 import {type FleetContext} from '../fleet-context.ts';
 import {type Membership} from '../membership/membership.ts';
@@ -6,18 +6,18 @@
 import {type PeerAddress} from '../types.ts';
 import {type ShareHolder} from './share-holder.ts';
 
-/** An offer not accepted in this time goes to another VM. */
-const offerMilliseconds: Milliseconds = 300;
+/** If an offer is not accepted within this time, the slot is offered to another VM. */
+const offerTimeoutMilliseconds: Milliseconds = 300;
 
-/** VMs tried before the slot is released in place of handed over. */
-const mostOffers = 4;
+/** Number of offers after which the slot is released instead. */
+const maxOffers = 4;
 
 type Acceptance = {readonly nonce: number; readonly slot: number; readonly from: PeerAddress; readonly at: Instant};
 
 export class ShareHandover {
 	private readonly _send: (to: PeerAddress, body: PeerBody) => void;
 	private _offeredTo: PeerAddress | undefined;
-	private _offers = 0;
+	private _offerCount = 0;
 	private _nonce = 0;
 	private _acceptance: Acceptance | undefined;
 	private _onDone: (() => void) | undefined;
@@ -31,14 +31,14 @@
 		this._send = send;
 	}
 
-	/** Finds a successor; calls back when the slot is given away or released. */
+	/** Offers the slot to other VMs; calls `onDone` when it has been handed over or released. */
 	begin(onDone: () => void): void {
 		this._onDone = onDone;
 		this._offerNext();
 	}
 
-	takeOffer(from: MemberRecord, slot: number): void {
-		if (!this._holder.isWanting) {
+	handleOffer(from: MemberRecord, slot: number): void {
+		if (!this._holder.needsSlot) {
 			return;
 		}
 
@@ -50,15 +50,15 @@
 	}
 
 	/**
-	 * Guard: the slot is given once. A late or repeated acceptance, from this or another VM, finds it gone; the
-	 * grant is sent after this VM's right has ended, so the two never overlap.
+	 * Guards against granting the slot twice: a late or repeated acceptance finds no slot to grant. The grant is sent after
+	 * this VM's right to use the slot has ended, so the two VMs' rights never overlap.
 	 */
-	takeAcceptance(from: MemberRecord, slot: number, nonce: number): void {
+	handleAcceptance(from: MemberRecord, slot: number, nonce: number): void {
 		if (this._offeredTo !== from.peerAddress || this._holder.slot !== slot) {
 			return;
 		}
 
-		const grant = this._holder.give();
+		const grant = this._holder.releaseForHandover();
 		if (grant) {
 			this._send(from.peerAddress, {
 				type: 'share-grant', ...grant, nonce, revision: 0,
@@ -68,31 +68,31 @@
 		this._finish();
 	}
 
-	/** Only the grant that answers the latest acceptance counts: an older one's time would be counted wrongly. */
-	takeGrant(from: MemberRecord, grant: PeerBody & {readonly type: 'share-grant'}): void {
+	/** Accepts only the grant for the latest acceptance; the remaining time of an older grant would be counted from the wrong instant. */
+	handleGrant(from: MemberRecord, grant: PeerBody & {readonly type: 'share-grant'}): void {
 		const acceptance = this._acceptance;
 		if (acceptance?.nonce !== grant.nonce || acceptance.from !== from.peerAddress || acceptance.slot !== grant.slot) {
 			return;
 		}
 
 		this._acceptance = undefined;
-		this._holder.take({slot: grant.slot, leaseId: grant.leaseId, remainingMilliseconds: grant.remainingMilliseconds}, acceptance.at);
+		this._holder.acceptHandover({slot: grant.slot, leaseId: grant.leaseId, remainingMilliseconds: grant.remainingMilliseconds}, acceptance.at);
 	}
 
 	private _offerNext(): void {
 		const {slot} = this._holder;
 		const candidates = this._membership.live.filter(({record}) => !record.isLeaving && !record.holdsShare && record.peerAddress !== this._offeredTo);
-		const [successor] = this._context.pick(candidates, 1);
-		if (slot === undefined || !successor || this._offers >= mostOffers) {
+		const [successor] = this._context.pickRandom(candidates, 1);
+		if (slot === undefined || !successor || this._offerCount >= maxOffers) {
 			this._holder.release();
 			this._finish();
 			return;
 		}
 
-		this._offers += 1;
+		this._offerCount += 1;
 		this._offeredTo = successor.record.peerAddress;
 		this._send(this._offeredTo, {type: 'share-offer', slot});
-		this._context.timers.set('share-offer', this._context.now + offerMilliseconds, () => {
+		this._context.timers.set('share-offer', this._context.now + offerTimeoutMilliseconds, () => {
 			this._offerNext();
 		});
 	}
--- a/src/common/fleet/shares/shares.test.ts
+++ b/src/common/fleet/shares/shares.test.ts
@@ -9,45 +9,45 @@
 const slots = 4;
 const windowMilliseconds = 10_000;
 
-/** A moment at which a VM believed that it may spend a slot's part. */
-type Spend = {readonly slot: number; readonly vm: string; readonly at: number};
+/** An instant at which a VM used its slot's part of the budget. */
+type SlotUse = {readonly slot: number; readonly vm: string; readonly at: number};
 
-/** Lets every VM spend whenever it believes it may; its own clock and what it holds are all it asks. */
-function recordSpends(fleet: FakeFleet): Spend[] {
-	const spends: Spend[] = [];
+/** Lets every VM use its slot whenever its own clock and its shares allow, at most every 200 ms, and records each use. */
+function recordSlotUses(fleet: FakeFleet): SlotUse[] {
+	const slotUses: SlotUse[] = [];
 	const latest = new Map<string, number>();
 	fleet.onStep = () => {
 		for (const vm of fleet.vms) {
 			const {shares} = vm;
-			const mayCall = vm.isRunning && shares !== undefined && shares.measuringPart > 0 && fleet.now >= shares.measuringFrom && fleet.now < shares.measuringUntil;
-			if (mayCall && fleet.now - (latest.get(vm.name) ?? -1000) >= 200) {
+			const mayUse = vm.isRunning && shares !== undefined && shares.measuringPart > 0 && fleet.now >= shares.measuringFrom && fleet.now < shares.measuringUntil;
+			if (mayUse && fleet.now - (latest.get(vm.name) ?? -1000) >= 200) {
 				latest.set(vm.name, fleet.now);
-				spends.push({slot: vm.engine.status(fleet.now).shareSlot!, vm: vm.name, at: fleet.now});
+				slotUses.push({slot: vm.engine.status(fleet.now).shareSlot!, vm: vm.name, at: fleet.now});
 			}
 		}
 	};
 
-	return spends;
+	return slotUses;
 }
 
-/** The promise: in any window one slot is spent by one VM only, so the slots' parts add up to the budget at most. */
-function overlaps(spends: readonly Spend[]): Spend[][] {
-	const found: Spend[][] = [];
+/** Uses of one slot by two VMs within one window. There must be none, so that the slots' parts never exceed the budget. */
+function overlaps(slotUses: readonly SlotUse[]): SlotUse[][] {
+	const overlapping: SlotUse[][] = [];
 	for (let slot = 0; slot < slots; slot += 1) {
-		const ordered = spends.filter(spend => spend.slot === slot);
-		for (const [index, spend] of ordered.entries()) {
-			const other = ordered.slice(index + 1).find(({vm, at}) => vm !== spend.vm && at - spend.at < windowMilliseconds);
+		const ordered = slotUses.filter(slotUse => slotUse.slot === slot);
+		for (const [index, slotUse] of ordered.entries()) {
+			const other = ordered.slice(index + 1).find(({vm, at}) => vm !== slotUse.vm && at - slotUse.at < windowMilliseconds);
 			if (other) {
-				found.push([spend, other]);
+				overlapping.push([slotUse, other]);
 				break;
 			}
 		}
 	}
 
-	return found;
+	return overlapping;
 }
 
-/** Most connections that the VMs together believe to be theirs, as a part of the limit. */
+/** Sum of the connection parts that the VMs claim, as a fraction of the limit. */
 function connectionSum(fleet: FakeFleet): number {
 	return fleet.vms.filter(({isGone}) => !isGone).reduce((sum, {shares}) => sum + (shares?.connectionPart ?? 0), 0);
 }
@@ -59,7 +59,7 @@
 	}
 
 	fleet.run(3000);
-	fleet.tell(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders')])});
+	fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders')])});
 	fleet.run(1000);
 	return fleet;
 }
@@ -94,7 +94,7 @@
 		}
 
 		case 'stop': {
-			fleet.tell(vm, {type: 'stop-requested', by: 'signal'});
+			fleet.dispatch(vm, {type: 'stop-requested', by: 'signal'});
 			break;
 		}
 
@@ -123,10 +123,10 @@
 		}
 
 		case 'suspend': {
-			// A VM's whole clock stands still; the adapter tells on waking. Here the clock runs on, which is stricter.
+			// When a VM is suspended, its monotonic clock stands still and the adapter reports the suspension on resuming. Here the clock runs on, which is stricter.
 			fleet.pause(vm, fault.milliseconds);
 			fleet.after(fault.milliseconds + 1, () => {
-				fleet.tell(vm, {type: 'woke', milliseconds: fault.milliseconds});
+				fleet.dispatch(vm, {type: 'woke', milliseconds: fault.milliseconds});
 			});
 			break;
 		}
@@ -140,19 +140,20 @@
 } as const), {minLength: 3, maxLength: 14});
 
 describe('shares of fleet-wide budgets', () => {
-	it('each VM holds a slot, and one beyond the slots spends nothing', function () {
+	it('each VM holds a slot, and a VM in excess of the slots holds none', function () {
 		const fleet = fleetOf(5, 1);
 		fleet.run(15_000);
 		expect(holders(fleet)).toMatchSnapshot(this);
 	});
 
-	// VMs are paused past their leases, killed, replaced, cut from the store, lose answers, in any order and at once.
-	// If two spent one slot in a window, a backend server would be measured more than its operator allowed.
-	it('no slot is ever spent by two VMs within a window, whatever happens', () => {
-		let spent = 0;
+	// Guards backend servers against more measuring calls than their operator allows, which two VMs with one slot in a
+	// window would send. VMs are paused beyond their leases, killed, replaced, cut off from the store, or lose replies, in
+	// any order and at once.
+	it('no slot is used by two VMs within a window under any faults', () => {
+		let useCount = 0;
 		fc.assert(fc.property(faults, fc.nat(1000), (list, seed) => {
 			const fleet = fleetOf(4, seed);
-			const spends = recordSpends(fleet);
+			const slotUses = recordSlotUses(fleet);
 			const random = seededRandom(seed);
 			for (const [index, fault] of list.entries()) {
 				apply(fleet, fault, index);
@@ -162,36 +163,36 @@
 			fleet.mode = 'up';
 			fleet.modeOf = () => undefined;
 			fleet.run(30_000);
-			spent += spends.length;
-			expect(overlaps(spends)).toEqual([]);
+			useCount += slotUses.length;
+			expect(overlaps(slotUses)).toEqual([]);
 		}), {seed: 11, numRuns: 60});
-		expect(spent).toBeGreaterThan(10_000);
+		expect(useCount).toBeGreaterThan(10_000);
 	});
 
-	// A planned stop hands the slot over. If both went on with it, or a grant on its way were counted from its
-	// arrival, it would be spent twice; if nobody had it, it would be lost until the lease ends.
-	it('a stopping VM hands its slot to one without, who spends it only a window later', function () {
+	// Guards the handover in a planned stop. If both VMs used the slot, or the receiver counted the grant from its arrival,
+	// the slot would be used twice; if neither held it, it would be unused until the lease expires.
+	it('a stopping VM hands its slot to a VM without one, which uses it only a window later', function () {
 		const fleet = fleetOf(5, 2);
 		fleet.run(15_000);
-		const spends = recordSpends(fleet);
+		const slotUses = recordSlotUses(fleet);
 		fleet.mode = 'down';
 		const without = fleet.vms.find(vm => vm.engine.status(fleet.now).shareSlot === undefined)!;
 		const stopping = fleet.vms.find(vm => vm !== without)!;
 		const slot = stopping.engine.status(fleet.now).shareSlot;
-		fleet.tell(stopping, {type: 'stop-requested', by: 'signal'});
+		fleet.dispatch(stopping, {type: 'stop-requested', by: 'signal'});
 		fleet.run(7000);
 		const handedOver = without.engine.status(fleet.now).shareSlot === slot;
-		const early = spends.some(({vm}) => vm === without.name);
+		const isUsedEarly = slotUses.some(({vm}) => vm === without.name);
 		fleet.mode = 'up';
 		fleet.run(30_000);
 		expect({
-			handedOver, early, late: spends.some(({vm}) => vm === without.name), overlaps: overlaps(spends),
+			handedOver, early: isUsedEarly, late: slotUses.some(({vm}) => vm === without.name), overlaps: overlaps(slotUses),
 		}).toMatchSnapshot(this);
 	});
 
-	// In an outage nobody can claim, so nobody can take the connections over: giving them up would close connections
-	// that work. A VM that alone is cut from the store must give them up, as others can claim its slot.
-	it('connections are kept in an outage, and given up by a VM that alone is cut off', function () {
+	// Guards working connections against being closed in an outage of the store, when no VM can claim the slot. A VM that
+	// alone cannot reach the store must release them, as other VMs can claim its slot.
+	it('connections are kept in an outage of the store, and released by a VM that alone cannot reach the store', function () {
 		const fleet = fleetOf(4, 3);
 		fleet.run(15_000);
 		fleet.mode = 'down';
@@ -200,8 +201,8 @@
 		const sum = connectionSum(fleet);
 		fleet.mode = 'up';
 		fleet.run(30_000);
-		const lonely: FakeVm = fleet.vms[2]!;
-		fleet.modeOf = vm => (vm === lonely ? 'down' : undefined);
+		const isolated: FakeVm = fleet.vms[2]!;
+		fleet.modeOf = vm => (vm === isolated ? 'down' : undefined);
 		fleet.run(30_000);
 		expect({inOutage, isWithinLimit: sum <= 1, alone: holders(fleet)}).toMatchSnapshot(this);
 	});
--- a/src/common/fleet/stopping/stopping.test.ts
+++ b/src/common/fleet/stopping/stopping.test.ts
@@ -15,25 +15,25 @@
 
 function traffic(fleet: FakeFleet, vm: FakeVm, callsInFlight: number): void {
 	vm.callsInFlight = callsInFlight;
-	fleet.tell(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
+	fleet.dispatch(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
 }
 
-function namers(fleet: FakeFleet, vm: FakeVm): number {
+function countVmsReturning(fleet: FakeFleet, vm: FakeVm): number {
 	return fleet.vms.filter(({isGone}) => !isGone).filter(other => other.engine.addresses('orders', fleet.now).addresses.some(({address}) => address === vm.settings.callAddress)).length;
 }
 
 describe('planned stop of a VM', () => {
-	// A VM is told to stop while callers still hold answers that name it, and one of them is in the middle of a long
-	// download. Ended too soon, it cuts the download off and callers find a closed port.
-	it('leaves the answers, serves on while they are kept, and waits for a download however long it takes', function () {
+	// Guards against a VM that ends too soon: it would break off a long download, and callers with cached answers that
+	// contain this VM would be refused connections.
+	it('removes the VM from address answers, serves while callers cache older ones, and waits for a download without a time limit', function () {
 		const fleet = fleetOf(4);
 		const vm = fleet.vms[1]!;
 		traffic(fleet, vm, 1);
-		fleet.tell(vm, {type: 'stop-requested', by: 'signal'});
+		fleet.dispatch(vm, {type: 'stop-requested', by: 'signal'});
 		const steps: string[] = [];
 		for (const second of [0, 1, 2, 4, 5, 6, 7, 3600]) {
 			fleet.run((second * 1000) + 8000 - fleet.now);
-			steps.push(`${second} s: ${vm.stages.at(-1)}, named by ${namers(fleet, vm)}`);
+			steps.push(`${second} s: ${vm.stages.at(-1)}, returned by ${countVmsReturning(fleet, vm)}`);
 		}
 
 		traffic(fleet, vm, 0);
@@ -41,94 +41,94 @@
 		expect({steps, stages: vm.stages}).toMatchSnapshot(this);
 	});
 
-	it('begins on a signal, on an operator\'s word through any VM, and on the platform\'s list', function () {
+	it('begins on an operator\'s order through another VM, and on the platform\'s list unless it is outdated', function () {
 		const fleet = fleetOf(4);
 		const list = (state: 'live' | 'leaving') => ({type: 'vm-list', vms: [{address: 'vm-2:1', dataCentre: 'dc-2', state}]} as const);
-		fleet.tell(fleet.vms[0]!, {type: 'operator-drain', identity: 'vm-1'});
-		fleet.tell(fleet.vms[2]!, list('live'));
-		fleet.tell(fleet.vms[2]!, list('leaving'));
-		// The list lags: it still tells of the process that ran here before.
-		fleet.tell(fleet.vms[3]!, {type: 'vm-list', vms: [{address: 'vm-3:1', dataCentre: 'dc-0', state: 'leaving'}]});
+		fleet.dispatch(fleet.vms[0]!, {type: 'operator-drain', identity: 'vm-1'});
+		fleet.dispatch(fleet.vms[2]!, list('live'));
+		fleet.dispatch(fleet.vms[2]!, list('leaving'));
+		// The list lags: it still shows the previous process at this address.
+		fleet.dispatch(fleet.vms[3]!, {type: 'vm-list', vms: [{address: 'vm-3:1', dataCentre: 'dc-0', state: 'leaving'}]});
 		fleet.run(100);
 		expect(fleet.vms.map(({stages}) => stages.at(-1))).toMatchSnapshot(this);
 	});
 
-	// All VMs are replaced one after the other while the store is out. New ones can't read the configuration there
-	// or claim anything; if the old ones took it all with them, the service would end with the last of them.
-	it('all VMs are replaced in an outage of the store and nothing is lost', function () {
+	// Guards the service when all VMs are replaced one after the other in an outage of the store. The new VMs can neither
+	// read the configuration nor claim share slots there, so they must get both from the old VMs before those end.
+	it('replaces all VMs in an outage of the store without losing configuration or share slots', function () {
 		const fleet = fleetOf(6);
-		fleet.tell(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
+		fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
 		fleet.run(1000);
 		fleet.mode = 'down';
-		const fewest: number[] = [];
+		const minAddressCounts: number[] = [];
 		for (let index = 0; index < 6; index += 1) {
 			const live = fleet.vms.filter(({isGone}) => !isGone).map(({address}) => address);
 			fleet.add(`new-${index}`, `dc-${index % 3}`, {seeds: live.slice(0, 3)});
 			fleet.run(1000);
-			fleet.tell(fleet.vms[index]!, {type: 'stop-requested', by: 'signal'});
+			fleet.dispatch(fleet.vms[index]!, {type: 'stop-requested', by: 'signal'});
 			fleet.run(8000);
-			fewest.push(Math.min(...fleet.vms.filter(({isGone}) => !isGone).map(vm => vm.engine.addresses('orders', fleet.now).addresses.length)));
+			minAddressCounts.push(Math.min(...fleet.vms.filter(({isGone}) => !isGone).map(vm => vm.engine.addresses('orders', fleet.now).addresses.length)));
 		}
 
 		expect({
 			old: fleet.vms.slice(0, 6).map(({stages}) => stages.at(-1)),
-			fresh: fleet.vms.slice(6).map(vm => `${vm.stages.at(-1)} ${vm.configuration?.version} ${vm.configuration?.backendServers.size} ${vm.isCutOff}`),
+			replacements: fleet.vms.slice(6).map(vm => `${vm.stages.at(-1)} ${vm.configuration?.version} ${vm.configuration?.backendServers.size} ${vm.isCutOff}`),
 			slots: new Set(fleet.vms.slice(6).map(vm => vm.engine.status(fleet.now).shareSlot)).size,
-			fewest,
+			minAddressCounts,
 		}).toMatchSnapshot(this);
 	});
 });
 
 describe('leaving of a backend server', () => {
 	function declare(fleet: FakeFleet): string {
-		fleet.tell(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
+		fleet.dispatch(fleet.vms[0]!, {type: 'operator-change', requestId: 1, change: testChange('one', [testService('orders'), testBackendServer('a', 'orders')])});
 		fleet.run(1500);
 		return [...fleet.vms[0]!.configuration!.backendServers.keys()][0]!;
 	}
 
-	// One VM sees the mark on an answer. The others know nothing and go on sending work for as long as it takes them
-	// to see it themselves. The store is out as well.
-	it('the first sign of any VM reaches all within 2 s, also in an outage of the store', function () {
+	// Guards a leaving backend server against calls from VMs that have not yet received a marked response from it. One VM
+	// has received one; the store is unavailable as well.
+	it('the first sign on any VM reaches all VMs within 2 s, also in an outage of the store', function () {
 		const fleet = fleetOf(16);
 		const identity = declare(fleet);
 		fleet.mode = 'down';
 		const at = fleet.now;
-		fleet.tell(fleet.vms[9]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
+		fleet.dispatch(fleet.vms[9]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
 		fleet.run(2000);
 		expect(fleet.vms.map(({name, signs}) => `${name} ${signs.length} ${signs[0]!.at - at < 2000}`)).toMatchSnapshot(this);
 	});
 
-	// A server leaves and comes back as a new process under its address. A VM that was paused wakes and passes on
-	// the old sign. Bound by it, the new process would get no work.
-	it('an old sign does not bind a server that has returned', function () {
+	// Guards the new process of a returned server against an old sign, which a VM passes on after a pause; with that sign
+	// applied, the process would get no calls.
+	it('an old sign does not apply to a server that has returned', function () {
 		const fleet = fleetOf(4);
 		const identity = declare(fleet);
-		fleet.tell(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
+		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
 		fleet.pause(fleet.vms[3]!, 4000);
 		fleet.run(1500);
 		for (const vm of fleet.vms) {
-			fleet.tell(vm, {type: 'returned', identity, instance: 'p2'});
+			fleet.dispatch(vm, {type: 'returned', identity, instance: 'p2'});
 		}
 
 		fleet.run(8000);
 		const afterReturn = fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.length);
-		fleet.tell(fleet.vms[1]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
+		fleet.dispatch(fleet.vms[1]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
 		fleet.run(2000);
 		expect({afterReturn, leavesAgain: fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.map(({instance}) => instance))}).toMatchSnapshot(this);
 	});
 
-	// A server leaves, comes back as a new process, and only one VM has met that one. A VM that starts later is told
-	// of all signs; told of the old one, which it can't tell from a new one, it would give the server no work.
-	it('a VM that starts after a server has returned is not told the old sign', () => {
+	// Guards a returned server whose new process only one VM has observed. A VM that starts later receives all signs and
+	// can't distinguish an old sign from a new one; with the old one it would assign the server no calls.
+	it('a VM that starts after a server has returned does not receive the old sign', () => {
 		const fleet = fleetOf(3);
 		const identity = declare(fleet);
-		fleet.tell(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
+		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p1', source: 'answer'}});
 		fleet.run(5000);
 		const report = {
 			inFlight: 0, queued: 0, slots: 6, instance: 'p2', isLeaving: false,
 		};
-		fleet.tell(fleet.vms[0]!, {type: 'returned', identity, instance: 'p2'});
-		fleet.tell(fleet.vms[0]!, {
+		fleet.dispatch(fleet.vms[0]!, {type: 'returned', identity, instance: 'p2'});
+		fleet.dispatch(fleet.vms[0]!, {
 			type: 'load-update', update: {
 				identity, report, ageMilliseconds: 0, suspects: [], crash: undefined,
 			},
@@ -140,14 +140,14 @@
 		expect(fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.length)).toEqual([0, 0, 0, 0]);
 	});
 
-	// A server is replaced and the new process begins to leave at once. A report of the old one is still on its way.
-	// Taken for a return, it would void the sign of the process that leaves now.
-	it('the late words of a forerunner void no sign', () => {
+	// Guards the sign of a new process that leaves at once: a report of the previous process, still in transit, must not
+	// count as a return and void that sign.
+	it('a late report of a previous process voids no sign', () => {
 		const fleet = fleetOf(3);
 		const identity = declare(fleet);
-		fleet.tell(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
+		fleet.dispatch(fleet.vms[0]!, {type: 'leaving-sign', sign: {identity, instance: 'p2', source: 'answer'}});
 		fleet.run(300);
-		fleet.tell(fleet.vms[0]!, {type: 'returned', identity, instance: 'p1'});
+		fleet.dispatch(fleet.vms[0]!, {type: 'returned', identity, instance: 'p1'});
 		fleet.run(3000);
 		expect(fleet.vms.map(vm => vm.engine.status(fleet.now).leavingSigns.map(({instance}) => instance))).toEqual([['p2'], ['p2'], ['p2']]);
 	});
--- a/src/common/fleet/test-utilities.test.ts
+++ b/src/common/fleet/test-utilities.test.ts
@@ -1,4 +1,4 @@
-/** Fakes for tests of the fleet engine: an in-memory key-value service and message passing in virtual time. */
+/** Test doubles for the fleet engine: VMs with an in-memory store, and message passing in virtual time. */
 import {type CallConfiguration, type FleetShares} from '../calls/types.ts';
 import {type Resource, resourceSchema} from '../model/resources.ts';
 import {type Instant} from '../model/units.ts';
@@ -10,7 +10,7 @@
 	type FleetEffect, type FleetEvent, type FleetSettings, type FleetStage, type OperatorAnswer, type OperatorChange,
 } from './types.ts';
 
-/** A polynomial hash modulo a prime: enough spread for tests, and no set-up. */
+/** Polynomial hash modulo a prime, which is uniform enough for tests and needs no initialisation. */
 export function testHash(text: string): number {
 	let hash = 7;
 	for (const character of text) {
@@ -20,14 +20,14 @@
 	return (hash * 48_271) % 2_147_483_647;
 }
 
-/** What one VM of the fake fleet has done. */
+/** One VM of the fake fleet, with a record of its effects. */
 export class FakeVm {
 	readonly engine: FleetCoordinator;
 	readonly address: string;
 	readonly versions: number[] = [];
 	readonly stages: FleetStage[] = [];
 	readonly answers: OperatorAnswer[] = [];
-	readonly answered: Array<{readonly requestId: number; readonly answer: OperatorAnswer; readonly headVersion: number}> = [];
+	readonly answerRecords: Array<{readonly requestId: number; readonly answer: OperatorAnswer; readonly headVersion: number}> = [];
 	readonly signs: Array<{readonly identity: string; readonly instance: string | undefined; readonly at: Instant}> = [];
 	configuration: CallConfiguration | undefined;
 	configuredAt: Instant = 0;
@@ -49,8 +49,8 @@
 }
 
 /**
- * How the service behaves towards a VM. `lost` = takes effect, answer lost; `late` = takes effect seconds after its
- * answer was given up; `stale` = reads come from an old copy.
+ * How the store handles a VM's operations. `lost` = the operation takes effect, but its reply is lost; `late` = it takes
+ * effect seconds after the wait for its reply has timed out; `stale` = reads return an old copy.
  */
 export type StoreMode = 'up' | 'down' | 'lost' | 'late' | 'stale';
 
@@ -58,18 +58,18 @@
 
 type Step = {readonly at: Instant; readonly order: number; readonly run: () => void};
 
-/** Several engines, one service, messages with a delay. */
+/** Several engines with one store, and messages that arrive after a delay. */
 export class FakeFleet {
 	now: Instant = 0;
 	readonly store = new FakeStore();
 	readonly vms: FakeVm[] = [];
 	readonly log: string[] = [];
 	mode: StoreMode = 'up';
-	/** Decides for one operation; undefined = by `mode`. */
+	/** Mode for one operation; undefined = `mode` applies. */
 	modeOf: (vm: FakeVm, operation: StoreOperation) => StoreMode | undefined = () => undefined;
-	/** Pairs `from>to` of VM names between which messages are dropped. */
-	readonly cuts = new Set<string>();
-	/** Copy of the service that stale reads come from. */
+	/** Pairs `from>to` of VM names; messages from the first to the second are dropped. */
+	readonly droppedLinks = new Set<string>();
+	/** Copy of the store that stale reads return. */
 	staleEntries: ReadonlyMap<string, StoreEntry> = new Map();
 	onStep: () => void = () => undefined;
 	private _steps: Step[] = [];
@@ -98,20 +98,20 @@
 			...overrides,
 		}, this._seed + this.vms.length + 1);
 		this.vms.push(vm);
-		this.tell(vm, {type: 'started'});
+		this.dispatch(vm, {type: 'started'});
 		return vm;
 	}
 
-	/** Version of the configuration that the service holds in truth. */
+	/** Version of the configuration in the store. */
 	headVersion(): number {
 		const entry = this.store.entries.get('jaydale/configuration/head');
 		return entry ? Number(/"version":(?<version>\d+)/v.exec(entry.value)!.groups!.version) : 0;
 	}
 
-	tell(vm: FakeVm, event: FleetEvent): void {
+	dispatch(vm: FakeVm, event: FleetEvent): void {
 		if (vm.isRunning) {
 			for (const effect of vm.engine.handle(event, this.now)) {
-				this._carryOut(vm, effect);
+				this._applyEffect(vm, effect);
 			}
 		}
 	}
@@ -121,7 +121,7 @@
 		this._steps.push({at: this.now + milliseconds, order: this._order, run});
 	}
 
-	/** A paused VM gets what came meanwhile when it wakes, as a stopped process does. */
+	/** Pauses a VM. It handles events that arrive meanwhile when it resumes, like a stopped process. */
 	pause(vm: FakeVm, milliseconds: number): void {
 		vm.isPaused = true;
 		this.after(milliseconds, () => {
@@ -135,14 +135,14 @@
 
 	run(milliseconds: number): void {
 		const end = this.now + milliseconds;
-		for (let at = this._nextAt(); at !== undefined && at <= end; at = this._nextAt()) {
+		for (let at = this._nextStepAt(); at !== undefined && at <= end; at = this._nextStepAt()) {
 			this.now = Math.max(this.now, at);
 			this._runSteps();
 			this._runWatches();
 			for (const vm of this.vms) {
 				const wakeUp = vm.isRunning ? vm.engine.nextWakeUp() : undefined;
 				if (wakeUp !== undefined && wakeUp <= this.now) {
-					this.tell(vm, {type: 'tick'});
+					this.dispatch(vm, {type: 'tick'});
 				}
 			}
 
@@ -152,7 +152,7 @@
 		this.now = end;
 	}
 
-	private _nextAt(): Instant | undefined {
+	private _nextStepAt(): Instant | undefined {
 		let earliest = Number.POSITIVE_INFINITY;
 		for (const {at} of this._steps) {
 			earliest = Math.min(earliest, at);
@@ -193,18 +193,18 @@
 		}
 	}
 
-	/** The front tells its traffic twice a second. */
-	private _tellTraffic(vm: FakeVm): void {
+	/** Reports the traffic of the front twice a second. */
+	private _reportTraffic(vm: FakeVm): void {
 		this.after(500, () => {
 			const {callsInFlight} = vm;
-			this.tell(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
+			this.dispatch(vm, {type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
 			if (!vm.isGone) {
-				this._tellTraffic(vm);
+				this._reportTraffic(vm);
 			}
 		});
 	}
 
-	private _carryOut(vm: FakeVm, effect: FleetEffect): void {
+	private _applyEffect(vm: FakeVm, effect: FleetEffect): void {
 		switch (effect.type) {
 			case 'store': {
 				this._execute(vm, effect.requestId, effect.operation);
@@ -236,7 +236,7 @@
 
 			case 'operator-answer': {
 				vm.answers.push(effect.answer);
-				vm.answered.push({requestId: effect.requestId, answer: effect.answer, headVersion: this.headVersion()});
+				vm.answerRecords.push({requestId: effect.requestId, answer: effect.answer, headVersion: this.headVersion()});
 				break;
 			}
 
@@ -244,7 +244,7 @@
 				vm.stages.push(effect.stage);
 				vm.isGone = effect.stage === 'ended';
 				if (effect.stage === 'draining') {
-					this._tellTraffic(vm);
+					this._reportTraffic(vm);
 				}
 
 				break;
@@ -282,7 +282,7 @@
 			return;
 		}
 
-		// Half of the delay on the way there, half on the way back: a pause may lie between.
+		// Request and reply are delayed separately, so that a pause may fall between them.
 		this.after(this._delay(), () => {
 			const isRead = operation.type === 'get' || operation.type === 'list';
 			const reply = mode === 'stale' && operation.type === 'get'
@@ -293,27 +293,27 @@
 	}
 
 	private _deliverReply(vm: FakeVm, requestId: number, reply: StoreReply): void {
-		this._arrive(vm, this._delay(), {type: 'store-replied', requestId, reply});
+		this._deliverEvent(vm, this._delay(), {type: 'store-replied', requestId, reply});
 	}
 
 	private _deliver(vm: FakeVm, {to, message}: FleetEffect & {readonly type: 'send'}): void {
 		const target = this.vms.findLast(({address, isGone}) => address === to && !isGone);
-		if (!target || this.cuts.has(`${vm.name}>${target.name}`)) {
-			this._arrive(vm, 300, {type: 'peer-unreachable', to});
+		if (!target || this.droppedLinks.has(`${vm.name}>${target.name}`)) {
+			this._deliverEvent(vm, 300, {type: 'peer-unreachable', to});
 			return;
 		}
 
-		// A copy, as after a wire: no VM may change what another holds.
-		this._arrive(target, this._delay(), {type: 'peer-message', message: structuredClone(message)});
+		// The message is cloned, as by a network, so that no VM can modify another VM's objects.
+		this._deliverEvent(target, this._delay(), {type: 'peer-message', message: structuredClone(message)});
 	}
 
-	/** Events for a paused VM wait until it runs again. */
-	private _arrive(vm: FakeVm, milliseconds: number, event: FleetEvent): void {
+	/** Delivers an event to a VM after a delay; events for a paused VM wait until it resumes. */
+	private _deliverEvent(vm: FakeVm, milliseconds: number, event: FleetEvent): void {
 		this.after(milliseconds, () => {
 			if (vm.isPaused) {
-				this._arrive(vm, 10, event);
+				this._deliverEvent(vm, 10, event);
 			} else {
-				this.tell(vm, event);
+				this.dispatch(vm, event);
 			}
 		});
 	}
@@ -323,7 +323,7 @@
 	}
 }
 
-/** A resource from its schema's defaults. */
+/** A service with the defaults of its schema. */
 export function testService(name: string): Resource {
 	return resourceSchema.parse({kind: 'service', name});
 }
@@ -334,7 +334,7 @@
 	});
 }
 
-/** A change that puts resources, whatever is there unless a version is expected. */
+/** A change that puts resources; it is unconditional unless `expectedVersion` is given. */
 export function testChange(operationId: string, resources: readonly Resource[], expectedVersion?: number): OperatorChange {
 	return {
 		operationId,
