--- a/src/common/registry/fleet-model.test.ts
+++ b/src/common/registry/fleet-model.test.ts
@@ -1,4 +1,4 @@
-/** A whole fleet that the store leads, in virtual time: its deciders, the store, and the registry feeds between VMs. */
+/** A whole fleet in virtual time: its state machines, the store, and the registry feeds between VMs. */
 import {Timeline} from '../../proof/fuzz/timeline.ts';
 import {type FleetEffect, type FleetEvent} from '../fleet/types.ts';
 import {type Instant, type Milliseconds, type RandomSource} from '../model/units.ts';
@@ -9,11 +9,11 @@
 import {StoreModel} from './store-model.test.ts';
 import {memberHeartbeatMilliseconds, usualLeaseMilliseconds} from './vm-loss-budget.ts';
 
-/** The way of a frame of the feed, and of a refused connection. */
-const wayMilliseconds: Milliseconds = 2;
+/** Delivery time of a feed frame, and of a refused connection. */
+const transferMilliseconds: Milliseconds = 2;
 
-/** Data centres of the fleet: `documents` tells them by the address. */
-const dataCentres = 2;
+/** Data centres of the fleet. `documents` derives the data centre from the address. */
+const dataCentreCount = 2;
 
 type FleetModelOptions = {
 	readonly vmCount: number;
@@ -23,30 +23,30 @@
 	readonly leaseMilliseconds?: Milliseconds;
 };
 
-/** One process of a VM. A restart makes another one. */
+/** One process of a VM; a restart creates another one. */
 export class ModelProcess {
 	readonly fleet: RegistryFleet;
 	readonly address: string;
 	readonly identity: string;
 	isAlive = true;
-	/** It has lost power: nothing at its address refuses a connection. */
-	isDark = false;
-	/** It runs, and does nothing: its timers fire when it wakes. */
+	/** The VM has lost power: connections to its address are not refused but get no response. */
+	isPoweredOff = false;
+	/** The process is paused: its events and timers are handled when it wakes. */
 	isFrozen = false;
 	stage = '';
 	version = 0;
 	evacuated: ReadonlySet<string> = new Set();
 	readonly startedAt: Instant;
 	/** Processes that follow this one's feed. */
-	readonly listeners = new Set<ModelProcess>();
+	readonly followers = new Set<ModelProcess>();
 	source: ModelProcess | undefined;
 	readonly logged = new Map<string, number>();
 	private readonly _model: FleetModel;
 	private _wakeAt: Instant | undefined;
-	private _followed = 0;
-	private readonly _missed: FleetEvent[] = [];
-	/** Announced before the stream stood. */
-	private _unsent: MemberAnnouncement[] = [];
+	private _connectionCount = 0;
+	private readonly _deferredEvents: FleetEvent[] = [];
+	/** Announcements made before the stream was open. */
+	private _unsentAnnouncements: MemberAnnouncement[] = [];
 
 	constructor(model: FleetModel, identity: string, address: string, random: RandomSource, options: FleetModelOptions) {
 		this._model = model;
@@ -74,53 +74,53 @@
 		}
 
 		if (this.isFrozen) {
-			this._missed.push(event);
+			this._deferredEvents.push(event);
 			return;
 		}
 
 		for (const effect of this.fleet.handle(event, this._model.timeline.now)) {
-			this._carryOut(effect);
+			this._execute(effect);
 		}
 
-		this._plan();
+		this._scheduleTick();
 	}
 
 	wake(): void {
 		this.isFrozen = false;
-		for (const event of this._missed.splice(0)) {
+		for (const event of this._deferredEvents.splice(0)) {
 			this.handle(event);
 		}
 
 		this.handle({type: 'tick'});
 	}
 
-	/** `isSilent` = the VM loses power: nobody hears that its connections ended. */
+	/** `isSilent` = the VM loses power, and its peers are not notified of closed connections. */
 	kill(isSilent = false): void {
 		this.isAlive = false;
-		this.isDark = isSilent;
+		this.isPoweredOff = isSilent;
 		if (isSilent) {
-			this.source?.listeners.delete(this);
+			this.source?.followers.delete(this);
 		} else {
-			this._leave();
+			this._closeStream();
 		}
 
-		for (const listener of this.listeners) {
-			listener.source = undefined;
+		for (const follower of this.followers) {
+			follower.source = undefined;
 			if (!isSilent) {
-				this._tellEnd(listener);
+				this._sendFeedClosed(follower);
 			}
 		}
 
-		this.listeners.clear();
+		this.followers.clear();
 	}
 
-	private _tellEnd(listener: ModelProcess): void {
-		this._model.timeline.after(wayMilliseconds, () => {
-			listener.handle({type: 'feed-closed', source: this.address});
+	private _sendFeedClosed(follower: ModelProcess): void {
+		this._model.timeline.after(transferMilliseconds, () => {
+			follower.handle({type: 'feed-closed', source: this.address});
 		});
 	}
 
-	private _carryOut(effect: FleetEffect): void {
+	private _execute(effect: FleetEffect): void {
 		switch (effect.type) {
 			case 'store': {
 				this._model.store.execute(this.address, effect.operation, reply => {
@@ -130,7 +130,7 @@
 			}
 
 			case 'follow-feed': {
-				this._follow(effect.source);
+				this._connect(effect.source);
 				break;
 			}
 
@@ -140,8 +140,8 @@
 			}
 
 			case 'publish-feed': {
-				for (const listener of this.listeners) {
-					this._deliver(listener, effect.frame);
+				for (const follower of this.followers) {
+					this._deliver(follower, effect.frame);
 				}
 
 				break;
@@ -150,9 +150,9 @@
 			case 'announce': {
 				const target = this.source;
 				if (target === undefined) {
-					this._unsent.push(effect.announcement);
+					this._unsentAnnouncements.push(effect.announcement);
 				} else {
-					this._model.timeline.after(wayMilliseconds, () => {
+					this._model.timeline.after(transferMilliseconds, () => {
 						target.handle({type: 'member-announced', announcement: effect.announcement});
 					});
 				}
@@ -180,14 +180,14 @@
 		}
 	}
 
-	/** A stream ends, and the VM whose feed it was learns of it. */
-	private _leave(): void {
+	/** Closes the stream and notifies the VM whose feed was followed. */
+	private _closeStream(): void {
 		const {source} = this;
-		source?.listeners.delete(this);
+		source?.followers.delete(this);
 		this.source = undefined;
 		if (source !== undefined) {
-			this._model.timeline.after(wayMilliseconds, () => {
-				if (source.listeners.has(this)) {
+			this._model.timeline.after(transferMilliseconds, () => {
+				if (source.followers.has(this)) {
 					return;
 				}
 
@@ -196,18 +196,18 @@
 		}
 	}
 
-	private _follow(address: string | undefined): void {
-		this._leave();
-		this._unsent = [];
-		this._followed += 1;
-		const turn = this._followed;
+	private _connect(address: string | undefined): void {
+		this._closeStream();
+		this._unsentAnnouncements = [];
+		this._connectionCount += 1;
+		const connection = this._connectionCount;
 		if (address === undefined) {
 			return;
 		}
 
-		this._model.timeline.after(wayMilliseconds, () => {
-			const target = this._model.at(address);
-			if (turn !== this._followed || !this.isAlive) {
+		this._model.timeline.after(transferMilliseconds, () => {
+			const target = this._model.runningAt(address);
+			if (connection !== this._connectionCount || !this.isAlive) {
 				return;
 			}
 
@@ -217,42 +217,45 @@
 			}
 
 			this.source = target;
-			target.listeners.add(this);
-			for (const announcement of this._unsent.splice(0)) {
+			target.followers.add(this);
+			for (const announcement of this._unsentAnnouncements.splice(0)) {
 				target.handle({type: 'member-announced', announcement});
 			}
 
 			if (!target.isFrozen) {
-				this._model.bytes += 1;
+				this._model.snapshotCount += 1;
 				target._deliver(this, target.fleet.feed(this._model.timeline.now));
 			}
 		});
 	}
 
-	/** A VM that is frozen or has lost power does not respond; elsewhere a connection is refused, or another process responds. */
+	/**
+	 * A VM that is frozen or has lost power does not respond. Otherwise the connection is refused, or a later process
+	 * at the address responds.
+	 */
 	private _probe(identity: string, address: string): void {
-		this._model.timeline.after(wayMilliseconds, () => {
+		this._model.timeline.after(transferMilliseconds, () => {
 			const target = this._model.latestAt(address);
-			if (target?.isDark === true || target?.isFrozen === true) {
+			if (target?.isPoweredOff === true || target?.isFrozen === true) {
 				return;
 			}
 
 			const isServing = target?.isAlive === true && target.fleet.isServing(identity);
-			this._model.timeline.after(wayMilliseconds, () => {
+			this._model.timeline.after(transferMilliseconds, () => {
 				this.handle({type: 'vm-probed', identity, isServing});
 			});
 		});
 	}
 
-	private _deliver(listener: ModelProcess, frame: FeedFrame): void {
-		this._model.timeline.after(wayMilliseconds, () => {
-			if (listener.source === this) {
-				listener.handle({type: 'feed-frame', source: this.address, frame});
+	private _deliver(follower: ModelProcess, frame: FeedFrame): void {
+		this._model.timeline.after(transferMilliseconds, () => {
+			if (follower.source === this) {
+				follower.handle({type: 'feed-frame', source: this.address, frame});
 			}
 		});
 	}
 
-	private _plan(): void {
+	private _scheduleTick(): void {
 		const next = this.fleet.nextWakeUp();
 		if (next === undefined || next === this._wakeAt) {
 			return;
@@ -273,8 +276,8 @@
 	readonly store = new StoreModel(this.timeline);
 	readonly seeds: readonly string[];
 	readonly random: RandomSource;
-	/** Whole frames that were sent. */
-	bytes = 0;
+	/** Number of snapshots sent. */
+	snapshotCount = 0;
 	private readonly _options: FleetModelOptions;
 	private readonly _processes = new Map<string, ModelProcess>();
 	private _starts = 0;
@@ -289,25 +292,25 @@
 		}
 	}
 
-	get living(): ModelProcess[] {
+	get running(): ModelProcess[] {
 		return [...this._processes.values()].filter(process => process.isAlive);
 	}
 
 	addressOf(vm: number): string {
-		return `10.${vm % dataCentres}.0.${Math.floor(vm / dataCentres)}:90`;
+		return `10.${vm % dataCentreCount}.0.${Math.floor(vm / dataCentreCount)}:90`;
 	}
 
-	/** The latest process at this address, whether it lives or not. */
+	/** The latest process at this address, running or not. */
 	latestAt(address: string): ModelProcess | undefined {
 		return this._processes.get(address);
 	}
 
-	at(address: string): ModelProcess | undefined {
+	runningAt(address: string): ModelProcess | undefined {
 		const process = this._processes.get(address);
 		return process?.isAlive === true ? process : undefined;
 	}
 
-	/** Starts a process on this VM after a moment. */
+	/** Starts a process on this VM after a random delay. */
 	start(vm: number, withinMilliseconds: Milliseconds = 300): void {
 		this.timeline.after(this.random.next() * withinMilliseconds, () => {
 			this._starts += 1;
@@ -323,8 +326,8 @@
 		}
 	}
 
-	vmOf(address: string): number {
+	vmIndexOf(address: string): number {
 		const [, dataCentre, , place] = address.slice(0, address.lastIndexOf(':')).split('.').map(Number);
-		return (place! * dataCentres) + dataCentre!;
+		return (place! * dataCentreCount) + dataCentre!;
 	}
 }
--- a/src/common/registry/lapsed-while-turning.test.ts
+++ b/src/common/registry/lapsed-while-turning.test.ts
@@ -4,13 +4,16 @@
 const servers = [entryOf('configuration', '1'), entryOf('servers/a', 'orders 10.0.1.1 ready'), entryOf('servers/b', 'orders 10.0.1.2 ready')];
 const others = [entryOf('vms/x', '10.0.0.2:80', 2), entryOf('vms/y', '10.0.0.3:80', 3)];
 
-/** A VM that read the store itself while it was silent for six seconds, and has just read that both entries have lapsed. */
+/**
+ * A VM that read the store itself, which did not respond for 6 s, and has just read that both backend server entries
+ * have lapsed.
+ */
 function afterLapse(): RegistryDriver {
 	const driver = new RegistryDriver();
 	driver.start([...servers, ...others]);
-	driver.publish();
-	driver.lose(6000);
-	while (!driver.asked.some(({operation}) => operation.type === 'watch')) {
+	driver.registerOwn();
+	driver.failStore(6000);
+	while (!driver.pendingRequests.some(({operation}) => operation.type === 'watch')) {
 		driver.passTime(20);
 	}
 
@@ -20,17 +23,17 @@
 	return driver;
 }
 
-/** The same, told by another VM since, which it has lost: it has read on and reads everything anew. */
-function readingOn(): RegistryDriver {
+/** The same VM after it has followed another VM and lost it: it reads the store again and lists all entries. */
+function readingAgain(): RegistryDriver {
 	const driver = afterLapse();
-	driver.frame(told);
-	driver.frame({revision: 31});
+	driver.receiveFrame(snapshotFrame);
+	driver.receiveFrame({revision: 31});
 	driver.handle({type: 'feed-closed', source: driver.source!});
 	while (driver.source !== undefined) {
 		driver.handle({type: 'feed-closed', source: driver.source});
 	}
 
-	while (!driver.asked.some(({operation}) => operation.type === 'watch')) {
+	while (!driver.pendingRequests.some(({operation}) => operation.type === 'watch')) {
 		driver.passTime(20);
 	}
 
@@ -41,47 +44,48 @@
 	return driver;
 }
 
-/** What a VM tells that took the return of the two entries for a heartbeat: they stand as they were. */
-const told = {isWhole: true, entries: [...servers, ...others, entryOf('vms/own', '10.0.0.1:80', 12)], revision: 30};
+/** Frame of a VM for which the lapse and renewal of both entries was only a heartbeat: the entries are unchanged. */
+const snapshotFrame = {isWhole: true, entries: [...servers, ...others, entryOf('vms/own', '10.0.0.1:80', 12)], revision: 30};
 
-// Guards backend servers that lapse and come back against a VM that follows another one meanwhile: nobody publishes their return.
-describe('backend servers that lapse while a VM turns to the feed of another', () => {
-	it('stay, since it is for the VM that is followed to say what is gone', () => {
+// Guards against the loss of backend servers that lapse and register again while a VM starts to follow another one,
+// which does not publish their return.
+describe('backend servers that lapse while a VM starts to follow the feed of another VM', () => {
+	it('are kept, since the followed VM decides on removals', () => {
 		const driver = afterLapse();
-		driver.frame(told);
+		driver.receiveFrame(snapshotFrame);
 		for (let beat = 1; beat <= 30; beat++) {
 			driver.passTime(100);
-			driver.frame({revision: 30 + beat});
+			driver.receiveFrame({revision: 30 + beat});
 		}
 
-		expect([driver.isReading, driver.usable]).toEqual([false, ['a', 'b']]);
+		expect([driver.isReading, driver.usableServers]).toEqual([false, ['a', 'b']]);
 	});
 
-	it('are gone when the VM that is followed says so', () => {
+	it('are removed when the followed VM publishes their removal', () => {
 		const driver = afterLapse();
-		driver.frame(told);
+		driver.receiveFrame(snapshotFrame);
 		driver.passTime(100);
-		driver.frame({revision: 31, deleted: ['servers/a']});
-		expect(driver.usable).toEqual(['b']);
+		driver.receiveFrame({revision: 31, deleted: ['servers/a']});
+		expect(driver.usableServers).toEqual(['b']);
 	});
 
-	// Guards the same backend servers against a VM that watches on from a revision that it was only told.
-	it('are read anew by a VM that reads on after it was told', () => {
-		const driver = readingOn();
+	// Guards the same backend servers against a VM that continues to watch from a revision received from the feed.
+	it('are listed again by a VM that reads the store after it has followed a feed', () => {
+		const driver = readingAgain();
 		driver.reply('list', {type: 'entries', entries: [...servers.slice(0, 2), ...others, entryOf('vms/own', '10.0.0.1:80', 12)], revision: 41});
 		driver.passTime(2500);
-		expect([driver.isReading, driver.usable]).toEqual([true, ['a']]);
+		expect([driver.isReading, driver.usableServers]).toEqual([true, ['a']]);
 	});
 
-	// Guards against a copy of the store that lies behind what another VM has told: it would bring back what is gone.
-	it('are read from the store itself where the cheaper list is older than what was told', () => {
-		const driver = readingOn();
+	// Guards against a stale copy of the store, behind the feed's revision, which would restore removed entries.
+	it('are listed without a stale copy if the cheaper list is behind the revision of the feed', () => {
+		const driver = readingAgain();
 		driver.reply('list', {type: 'entries', entries: [...servers, ...others], revision: 25});
 		driver.passTime(10);
-		const list = driver.asked.find(({operation}) => operation.type === 'list')?.operation;
-		expect([list?.type === 'list' && list.mayBeOld === true, driver.usable]).toEqual([false, ['a', 'b']]);
+		const list = driver.pendingRequests.find(({operation}) => operation.type === 'list')?.operation;
+		expect([list?.type === 'list' && list.mayBeOld === true, driver.usableServers]).toEqual([false, ['a', 'b']]);
 		driver.reply('list', {type: 'entries', entries: [...servers.slice(0, 2), ...others, entryOf('vms/own', '10.0.0.1:80', 12)], revision: 41});
 		driver.passTime(2500);
-		expect(driver.usable).toEqual(['a']);
+		expect(driver.usableServers).toEqual(['a']);
 	});
 });
--- a/src/common/registry/loss-course.test.ts
+++ b/src/common/registry/loss-course.test.ts
@@ -1,16 +1,19 @@
-/** What tests of lost VMs share: a fleet that has found its order, losses, and the course of its answers. */
+/**
+ * Shared by the tests of lost VMs: a settled fleet, the loss of VMs, and the observation of which VMs are named to
+ * callers.
+ */
 import {type Milliseconds} from '../model/units.ts';
 import {FleetModel, type ModelProcess} from './fleet-model.test.ts';
 
-/** Time in which a fleet that has just started finds its order. */
+/** Time in which a fleet that has just started settles. */
 export const settleMilliseconds: Milliseconds = 10_000;
 
-/** Pause between two looks at all answers. */
+/** Pause between two checks of all VMs. */
 const stepMilliseconds: Milliseconds = 100;
 
-/** This share of the VMs that live, drawn at random. */
-export function part(model: FleetModel, share: number): ModelProcess[] {
-	const {living} = model;
+/** A random selection of this fraction of the running VMs. */
+export function randomPart(model: FleetModel, share: number): ModelProcess[] {
+	const {running: living} = model;
 	const shuffled = living.map(process => ({process, place: model.random.next()})).toSorted((one, other) => one.place - other.place);
 	return shuffled.slice(0, Math.ceil(share * living.length)).map(({process}) => process);
 }
@@ -18,37 +21,37 @@
 export function startedModel(vmCount: number, seed: number): FleetModel {
 	const model = new FleetModel({vmCount, serverCount: 100, seed});
 	model.startAll();
-	// The moment of the loss within the registrars' renewals is one of chance.
+	// Varies the time of the loss within the registrars' renewals.
 	model.timeline.advance(settleMilliseconds + (model.random.next() * 3000));
 	return model;
 }
 
-export type Course = {
-	/** Time from the loss until no VM names any of those that are lost. */
-	readonly named: Milliseconds;
-	/** Most VMs that live and were missing from the answers of one VM at a time. */
+export type LossResult = {
+	/** Time from the loss until no VM names a lost VM. */
+	readonly namedMilliseconds: Milliseconds;
+	/** Most running VMs that were not named by one VM at a time. */
 	readonly missing: number;
 };
 
-export function courseOf(model: FleetModel, lost: ReadonlySet<string>, milliseconds: Milliseconds = 9000): Course {
+export function observeLoss(model: FleetModel, lost: ReadonlySet<string>, milliseconds: Milliseconds = 9000): LossResult {
 	const startedAt = model.timeline.now;
-	let named = 0;
+	let namedMilliseconds = 0;
 	let missing = 0;
 	while (model.timeline.now - startedAt < milliseconds) {
 		model.timeline.advance(stepMilliseconds);
-		for (const {fleet} of model.living) {
+		for (const {fleet} of model.running) {
 			const known = new Set(fleet.knownCallAddresses());
-			missing = Math.max(missing, model.living.filter(({address}) => !known.has(address)).length);
+			missing = Math.max(missing, model.running.filter(({address}) => !known.has(address)).length);
 			if ([...lost].some(address => known.has(address))) {
-				named = model.timeline.now - startedAt;
+				namedMilliseconds = model.timeline.now - startedAt;
 			}
 		}
 	}
 
-	return {named, missing};
+	return {namedMilliseconds, missing};
 }
 
-export function lose(victims: readonly ModelProcess[]): Set<string> {
+export function powerOff(victims: readonly ModelProcess[]): Set<string> {
 	for (const victim of victims) {
 		victim.kill(true);
 	}
--- a/src/common/registry/registry-driver.test.ts
+++ b/src/common/registry/registry-driver.test.ts
@@ -1,4 +1,7 @@
-/** What the tests of the registry engine share: an engine, its virtual time, and a store that answers when told to. */
+/**
+ * Shared by the tests of the registry engine: an engine, its virtual time, and a store that replies on request of the
+ * test.
+ */
 import {err, ok} from 'neverthrow';
 import {type CallConfiguration} from '../calls/types.ts';
 import {failure} from '../errors/failure.ts';
@@ -11,7 +14,7 @@
 	type DocumentReader, type MemberAnnouncement, type FeedFrame, type RegistrySettings,
 } from './types.ts';
 
-/** What the engine of a test's VM is told; a test of a whole fleet gives each VM an identity and an address. */
+/** Settings of the engine under test; a test of a whole fleet replaces identity and addresses for each VM. */
 export const settings: RegistrySettings = {
 	identity: 'own',
 	own: {
@@ -30,7 +33,7 @@
 	graceMilliseconds: 6000,
 };
 
-/** Documents in a form of the tests' own: `version`, `service address state [start [warming]]`, or an address. */
+/** Documents in a test format: `version`, `service address state [start [warming]]`, or `address [link]`. */
 export const documents: DocumentReader = {
 	configuration(value) {
 		const version = Number(value);
@@ -75,26 +78,26 @@
 	writeVm: entry => entry.callAddress,
 };
 
-/** An entry as the store holds it. */
+/** An entry as in the store. */
 export function entryOf(key: string, value: string, revision = 1): StoreEntry {
 	return {key, value, revision};
 }
 
-type Asked = {readonly requestId: number; readonly operation: StoreOperation};
+type PendingRequest = {readonly requestId: number; readonly operation: StoreOperation};
 
-/** An engine whose store answers one request at a time. */
+/** An engine and a store that replies to one request at a time. */
 export class RegistryDriver {
 	readonly fleet = new RegistryFleet(settings, documents, seededRandom(1));
-	/** Everything that the engine asked the store for and that is not answered. */
-	asked: Asked[] = [];
+	/** Requests to the store without a reply. */
+	pendingRequests: PendingRequest[] = [];
 	readonly effects: FleetEffect[] = [];
-	/** What other VMs were told, oldest first. */
-	readonly told: FeedFrame[] = [];
-	/** What this VM told the one that it follows about itself. */
-	readonly announced: MemberAnnouncement[] = [];
-	/** VMs that it has turned to, oldest first. */
-	readonly followed: string[] = [];
-	/** Whose feed is taken now. */
+	/** Frames published to other VMs, oldest first. */
+	readonly publishedFrames: FeedFrame[] = [];
+	/** Announcements sent to the followed VM. */
+	readonly announcements: MemberAnnouncement[] = [];
+	/** VMs that were followed, oldest first. */
+	readonly followedSources: string[] = [];
+	/** The VM that is followed now. */
 	source: string | undefined;
 	now = 0;
 
@@ -102,26 +105,26 @@
 		for (const effect of this.fleet.handle(event, this.now)) {
 			switch (effect.type) {
 				case 'store': {
-					this.asked.push(effect);
+					this.pendingRequests.push(effect);
 
 					break;
 				}
 
 				case 'publish-feed': {
-					this.told.push(effect.frame);
+					this.publishedFrames.push(effect.frame);
 
 					break;
 				}
 
 				case 'announce': {
-					this.announced.push(effect.announcement);
+					this.announcements.push(effect.announcement);
 
 					break;
 				}
 
 				case 'follow-feed': {
 					this.source = effect.source;
-					this.followed.push(...effect.source === undefined ? [] : [effect.source]);
+					this.followedSources.push(...effect.source === undefined ? [] : [effect.source]);
 
 					break;
 				}
@@ -133,14 +136,14 @@
 		}
 	}
 
-	/** Answers the oldest request of this type. */
+	/** Replies to the oldest request of this type. */
 	reply(type: StoreOperation['type'], reply: StoreReply): void {
-		const request = this.asked.find(({operation}) => operation.type === type)!;
-		this.asked = this.asked.filter(one => one !== request);
+		const request = this.pendingRequests.find(({operation}) => operation.type === type)!;
+		this.pendingRequests = this.pendingRequests.filter(one => one !== request);
 		this.handle({type: 'store-replied', requestId: request.requestId, reply});
 	}
 
-	/** Lets time pass, with the ticks that the engine asks for. */
+	/** Lets time pass and runs the timers of the engine. */
 	passTime(milliseconds: number): void {
 		const end = this.now + milliseconds;
 		for (let next = this.fleet.nextWakeUp(); next !== undefined && next <= end; next = this.fleet.nextWakeUp()) {
@@ -151,7 +154,9 @@
 		this.now = end;
 	}
 
-	/** The engine has read these entries, first from a copy that may be old and then what came since, and watches on. */
+	/**
+	 * Starts the engine: it lists these entries, first from a copy that may be stale, then watches for later changes.
+	 */
 	start(entries: readonly StoreEntry[]): void {
 		this.handle({type: 'started'});
 		this.reply('list', {type: 'entries', entries, revision: 10});
@@ -162,15 +167,15 @@
 		this.passTime(500);
 	}
 
-	/** The engine, which follows nobody, has written its own entry. */
-	publish(): void {
+	/** The engine, which follows no VM, writes its own entry. */
+	registerOwn(): void {
 		this.reply('grant-lease', {type: 'lease', leaseId: '7', milliseconds: 3000});
 		this.reply('write-all', {type: 'written', revision: 12});
 	}
 
-	/** The watch that waits brings these changes; the next one begins. */
+	/** Replies to the pending watch with these changes; the next watch follows. */
 	change(entries: readonly StoreEntry[], deleted: readonly string[] = [], revision = 20): void {
-		while (!this.asked.some(({operation}) => operation.type === 'watch')) {
+		while (!this.pendingRequests.some(({operation}) => operation.type === 'watch')) {
 			this.passTime(100);
 		}
 
@@ -180,11 +185,11 @@
 		this.passTime(500);
 	}
 
-	/** The store does not answer for this long. */
-	lose(milliseconds: number): void {
+	/** The store does not respond for this long. */
+	failStore(milliseconds: number): void {
 		const end = this.now + milliseconds;
 		while (this.now < end) {
-			if (this.asked.some(({operation}) => operation.type === 'watch')) {
+			if (this.pendingRequests.some(({operation}) => operation.type === 'watch')) {
 				this.reply('watch', {type: 'unavailable'});
 			}
 
@@ -192,31 +197,31 @@
 		}
 	}
 
-	/** The VM that is followed tells this. */
-	frame(frame: Partial<FeedFrame>): void {
+	/** Delivers a frame from the followed VM. */
+	receiveFrame(receiveFrame: Partial<FeedFrame>): void {
 		this.handle({
 			type: 'feed-frame', source: this.source!, frame: {
-				revision: 20, ageMilliseconds: 0, entries: [], deleted: [], isWhole: false, ...frame,
+				revision: 20, ageMilliseconds: 0, entries: [], deleted: [], isWhole: false, ...receiveFrame,
 			},
 		});
 	}
 
-	/** Whether it reads the store itself. */
+	/** Whether the engine reads the store itself. */
 	get isReading(): boolean {
 		return this.fleet.status(this.now).isReadingStore;
 	}
 
-	/** The configuration that calls go by now. */
+	/** The configuration in force for calls. */
 	get inForce(): CallConfiguration | undefined {
 		return this.effects.findLast((effect): effect is FleetEffect & {type: 'configured'} => effect.type === 'configured')?.configuration;
 	}
 
-	/** Backend servers that calls may go to now. */
-	get usable(): string[] {
+	/** Backend servers that may get new calls. */
+	get usableServers(): string[] {
 		return [...this.inForce?.backendServers ?? []].filter(([, server]) => !server.isLeaving).map(([identity]) => identity).toSorted();
 	}
 
-	/** Messages logged so far. */
+	/** Logged messages, oldest first. */
 	get logged(): string[] {
 		return this.effects.filter(effect => effect.type === 'log').map(effect => effect.message);
 	}
--- a/src/common/registry/store-model.test.ts
+++ b/src/common/registry/store-model.test.ts
@@ -1,63 +1,63 @@
-/** The platform's store in virtual time, as tests of whole fleets need it: leases, watches, outages, and a bill. */
+/** The platform's store in virtual time for tests of whole fleets: leases, watches, outages, and the cost of calls. */
 import {type Timeline} from '../../proof/fuzz/timeline.ts';
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {
 	type Revision, type StoreEntry, type StoreOperation, type StoreReply,
 } from '../platform/types.ts';
 
-/** The way to the store and back, unless it is slow. */
-const usualAnswerMilliseconds: Milliseconds = 5;
+/** Default time for a request and its reply. */
+const defaultReplyMilliseconds: Milliseconds = 5;
 
-/** After it a client takes an answer for lost. */
-const lostMilliseconds: Milliseconds = 2000;
+/** A client treats a reply as lost after this time. */
+const replyTimeoutMilliseconds: Milliseconds = 2000;
 
-/** Entries that one page of a list holds at most. */
+/** Most entries in one page of a list. */
 const pageEntries = 500;
 
-/** Conditions and writes that one transaction holds together. */
-const mostEntriesOfTransaction = 32;
+/** Most conditions and writes in one transaction. */
+const maxTransactionEntries = 32;
 
-/** Part of a call's price that the store asks for reads that may be old, and for renewals. */
-const reducedPrice = 0.1;
+/** Cost of reads that may be stale, and of renewals, as a fraction of a call's cost. */
+const reducedCost = 0.1;
 
-type Held = StoreEntry & {readonly leaseId: string | undefined};
+type StoredEntry = StoreEntry & {readonly leaseId: string | undefined};
 type StoreEvent = {readonly revision: Revision; readonly key: string; readonly entry: StoreEntry | undefined};
-type Waiting = {readonly prefix: string; readonly after: Revision; readonly end: (reply: StoreReply) => void};
-type Answer = (reply: StoreReply) => void;
+type PendingWatch = {readonly prefix: string; readonly after: Revision; readonly end: (reply: StoreReply) => void};
+type OnReply = (reply: StoreReply) => void;
 
 export class StoreModel {
-	/** Price of all calls so far, by kind. */
-	readonly bill = new Map<string, number>();
-	/** Whom the store does not answer now. */
+	/** Cost of all calls so far, by type. */
+	readonly costs = new Map<string, number>();
+	/** VMs that the store does not respond to now. */
 	isSilentTo: (vm: string) => boolean = () => false;
-	/** The way to the store and back. */
-	answerMilliseconds: Milliseconds = usualAnswerMilliseconds;
-	/** No lease ends: the store keeps those that it had while it was away. */
-	arePaused = false;
+	/** Time for a request and its reply. */
+	replyMilliseconds: Milliseconds = defaultReplyMilliseconds;
+	/** No lease ends, as in a store that keeps its leases during an outage. */
+	areLeasesPaused = false;
 	private readonly _timeline: Timeline;
-	private readonly _entries = new Map<string, Held>();
+	private readonly _entries = new Map<string, StoredEntry>();
 	private readonly _leases = new Map<string, Instant>();
 	private readonly _terms = new Map<string, Milliseconds>();
 	private readonly _events: StoreEvent[] = [];
-	private readonly _waiting = new Set<Waiting>();
+	private readonly _pendingWatches = new Set<PendingWatch>();
 	private _revision = 10;
-	/** Changes up to this revision are no longer known one by one. */
-	private _oldest = 0;
+	/** The history up to this revision has been dropped. */
+	private _oldestRevision = 0;
 	private _lastLease = 0;
 
 	constructor(timeline: Timeline) {
 		this._timeline = timeline;
 	}
 
-	get total(): number {
-		return [...this.bill.values()].reduce((sum, price) => sum + price, 0);
+	get totalCost(): number {
+		return [...this.costs.values()].reduce((sum, cost) => sum + cost, 0);
 	}
 
-	/** Writes as an operator or a backend server does. */
+	/** Writes as an operator or a backend server would. */
 	put(key: string, value: string, leaseId?: string): Revision {
 		this._revision += 1;
 		this._set(key, value, leaseId);
-		this._wake();
+		this._endWatches();
 		return this._revision;
 	}
 
@@ -65,7 +65,7 @@
 		if (this._entries.delete(key)) {
 			this._revision += 1;
 			this._events.push({revision: this._revision, key, entry: undefined});
-			this._wake();
+			this._endWatches();
 		}
 	}
 
@@ -73,20 +73,20 @@
 		return [...this._entries.keys()].filter(key => key.startsWith(prefix));
 	}
 
-	execute(vm: string, operation: StoreOperation, answer: Answer): void {
+	execute(vm: string, operation: StoreOperation, onReply: OnReply): void {
 		this._charge(operation);
 		if (this.isSilentTo(vm)) {
 			const isWatch = operation.type === 'watch';
-			this._timeline.after(isWatch ? operation.milliseconds + 800 : lostMilliseconds, () => {
-				answer({type: isWatch || operation.type === 'list' ? 'unavailable' : 'unknown'});
+			this._timeline.after(isWatch ? operation.milliseconds + 800 : replyTimeoutMilliseconds, () => {
+				onReply({type: isWatch || operation.type === 'list' ? 'unavailable' : 'unknown'});
 			});
 			return;
 		}
 
-		this._timeline.after(this.answerMilliseconds / 2, () => {
-			this._carryOut(operation, reply => {
-				this._timeline.after(this.answerMilliseconds / 2, () => {
-					answer(reply);
+		this._timeline.after(this.replyMilliseconds / 2, () => {
+			this._execute(operation, reply => {
+				this._timeline.after(this.replyMilliseconds / 2, () => {
+					onReply(reply);
 				});
 			});
 		});
@@ -95,45 +95,45 @@
 	private _charge(operation: StoreOperation): void {
 		const pages = operation.type === 'list' ? Math.max(1, Math.ceil(this._entries.size / pageEntries)) : 1;
 		const isReduced = operation.type === 'keep-lease' || (operation.type === 'list' && operation.mayBeOld === true);
-		this.bill.set(operation.type, (this.bill.get(operation.type) ?? 0) + (pages * (isReduced ? reducedPrice : 1)));
+		this.costs.set(operation.type, (this.costs.get(operation.type) ?? 0) + (pages * (isReduced ? reducedCost : 1)));
 	}
 
-	private _carryOut(operation: StoreOperation, answer: Answer): void {
+	private _execute(operation: StoreOperation, onReply: OnReply): void {
 		switch (operation.type) {
 			case 'list': {
-				answer({type: 'entries', entries: [...this._entries.values()].filter(entry => entry.key.startsWith(operation.prefix)), revision: this._revision});
+				onReply({type: 'entries', entries: [...this._entries.values()].filter(entry => entry.key.startsWith(operation.prefix)), revision: this._revision});
 				break;
 			}
 
 			case 'watch': {
-				this._watch(operation, answer);
+				this._watch(operation, onReply);
 				break;
 			}
 
 			case 'compare-and-swap': {
-				answer(this._swap(operation));
+				onReply(this._swap(operation));
 				break;
 			}
 
 			case 'write-all': {
-				answer(this._writeAll(operation));
+				onReply(this._writeAll(operation));
 				break;
 			}
 
 			case 'grant-lease': {
 				this._lastLease += 1;
 				const leaseId = String(this._lastLease);
-				this._renew(leaseId, operation.milliseconds);
-				answer({type: 'lease', leaseId, milliseconds: operation.milliseconds});
+				this._renewLease(leaseId, operation.milliseconds);
+				onReply({type: 'lease', leaseId, milliseconds: operation.milliseconds});
 				break;
 			}
 
 			case 'keep-lease': {
 				if (this._leases.has(operation.leaseId)) {
-					this._renew(operation.leaseId, this._terms.get(operation.leaseId)!);
-					answer({type: 'lease', leaseId: operation.leaseId, milliseconds: this._terms.get(operation.leaseId)!});
+					this._renewLease(operation.leaseId, this._terms.get(operation.leaseId)!);
+					onReply({type: 'lease', leaseId: operation.leaseId, milliseconds: this._terms.get(operation.leaseId)!});
 				} else {
-					answer({type: 'lease-lost'});
+					onReply({type: 'lease-lost'});
 				}
 
 				break;
@@ -141,23 +141,23 @@
 
 			case 'revoke-lease': {
 				this.endLease(operation.leaseId);
-				answer({type: 'lease', leaseId: operation.leaseId, milliseconds: 0});
+				onReply({type: 'lease', leaseId: operation.leaseId, milliseconds: 0});
 				break;
 			}
 
 			default: {
-				answer({type: 'unavailable'});
+				onReply({type: 'unavailable'});
 			}
 		}
 	}
 
-	/** Forgets what has changed so far: watches that are behind are told to read anew. */
+	/** Drops the history of changes, so that watches from earlier revisions get `history-lost`. */
 	dropHistory(): void {
 		this._events.splice(0);
-		this._oldest = this._revision;
+		this._oldestRevision = this._revision;
 	}
 
-	/** Ends a lease and removes what it holds, as if it had lapsed. */
+	/** Ends a lease and removes its entries. */
 	endLease(leaseId: string): void {
 		if (!this._leases.delete(leaseId)) {
 			return;
@@ -171,10 +171,10 @@
 			}
 		}
 
-		this._wake();
+		this._endWatches();
 	}
 
-	private _renew(leaseId: string, term: Milliseconds): void {
+	private _renewLease(leaseId: string, term: Milliseconds): void {
 		const until = this._timeline.now + term;
 		this._terms.set(leaseId, term);
 		this._leases.set(leaseId, until);
@@ -183,8 +183,8 @@
 				return;
 			}
 
-			if (this.arePaused) {
-				this._renew(leaseId, term);
+			if (this.areLeasesPaused) {
+				this._renewLease(leaseId, term);
 			} else {
 				this.endLease(leaseId);
 			}
@@ -205,7 +205,7 @@
 	}
 
 	private _writeAll({writes, leaseId}: StoreOperation & {type: 'write-all'}): StoreReply {
-		if (2 * writes.length > mostEntriesOfTransaction) {
+		if (2 * writes.length > maxTransactionEntries) {
 			return {type: 'unknown'};
 		}
 
@@ -228,37 +228,37 @@
 			}
 		}
 
-		this._wake();
+		this._endWatches();
 		return {type: 'written', revision: this._revision};
 	}
 
-	private _watch({prefix, after, milliseconds}: StoreOperation & {type: 'watch'}, answer: Answer): void {
-		const waiting: Waiting = {
+	private _watch({prefix, after, milliseconds}: StoreOperation & {type: 'watch'}, onReply: OnReply): void {
+		const watch: PendingWatch = {
 			prefix,
 			after,
 			end: reply => {
-				if (this._waiting.delete(waiting)) {
-					answer(reply);
+				if (this._pendingWatches.delete(watch)) {
+					onReply(reply);
 				}
 			},
 		};
-		if (after < this._oldest) {
-			answer({type: 'history-lost'});
+		if (after < this._oldestRevision) {
+			onReply({type: 'history-lost'});
 			return;
 		}
 
-		this._waiting.add(waiting);
+		this._pendingWatches.add(watch);
 		if (this._events.some(event => event.revision > after && event.key.startsWith(prefix))) {
-			waiting.end(this._changes(waiting));
+			watch.end(this._changes(watch));
 			return;
 		}
 
 		this._timeline.after(milliseconds, () => {
-			waiting.end(this._changes(waiting));
+			watch.end(this._changes(watch));
 		});
 	}
 
-	private _changes({prefix, after}: Waiting): StoreReply {
+	private _changes({prefix, after}: PendingWatch): StoreReply {
 		const latest = new Map<string, StoreEvent>();
 		for (let index = this._events.length - 1; index >= 0 && this._events[index]!.revision > after; index--) {
 			const event = this._events[index]!;
@@ -284,11 +284,11 @@
 		this._events.push({revision: this._revision, key, entry});
 	}
 
-	/** Ends the watches for which something has changed. */
-	private _wake(): void {
-		for (const waiting of this._waiting) {
-			if (this._events.some(event => event.revision > waiting.after && event.key.startsWith(waiting.prefix))) {
-				waiting.end(this._changes(waiting));
+	/** Replies to the watches that have changes. */
+	private _endWatches(): void {
+		for (const watch of this._pendingWatches) {
+			if (this._events.some(event => event.revision > watch.after && event.key.startsWith(watch.prefix))) {
+				watch.end(this._changes(watch));
 			}
 		}
 	}
