--- a/src/common/registry/feed-selector.ts
+++ b/src/common/registry/feed-selector.ts
@@ -12,10 +12,12 @@
 const table = chartTable<State>(chart);
 
 /**
- * Ages of the feed's data at which a VM acts, as fractions of the convergence time. A reader pauses for 0.4 of that
- * time between two watches, each watch takes at most 0.15, and the reader publishes after each: without faults the data
- * is at most 0.55 old. The standby acts first, so that the VMs that switch to it find fresh data; a lost reader then
- * costs one store call, not one per VM. The time after the last step is left for the store's reply and for slow VMs.
+ * Ages of the feed's data at which a VM acts, as fractions of the convergence time: first the standby reads the store
+ * itself, then followers switch to another source, and finally they read the store themselves. A reader pauses for 0.4
+ * of that time between two watches, each watch takes at most 0.15, and the reader publishes after each: without faults
+ * the data is at most 0.55 old. The standby acts first, so that the VMs that switch to it find fresh data; a lost
+ * reader then costs one store call, not one per VM. The time after the last step is left for the store's reply and for
+ * slow VMs.
  */
 const standbyAgeFraction = 0.65;
 const switchAgeFraction = 0.7;
@@ -37,9 +39,9 @@
 const firstFrameTimeoutMilliseconds: Milliseconds = 300;
 
 /**
- * Bounds of the pause between attempts to find a source while this VM reads the store itself. The pause doubles from
- * the first to the second: in a fleet that has just started the other VMs become available a moment later, and each VM
- * that still reads by then costs a store call.
+ * Bounds of the pause between attempts to find a source while this VM reads the store itself. The pause doubles up to
+ * the maximum: in a fleet that has just started the other VMs become available a moment later, and each VM that still
+ * reads by then costs a store call.
  */
 const minSourceRetryMilliseconds: Milliseconds = 100;
 const maxSourceRetryMilliseconds: Milliseconds = 700;
@@ -76,7 +78,7 @@
 	/** The current source has sent a frame. */
 	private _hasReceivedFrame = false;
 	private _retryPause = minSourceRetryMilliseconds;
-	/** This VM keeps reading until then, since other VMs may still follow its feed. */
+	/** This VM does not stop reading before this time, since other VMs may still follow its feed. */
 	private _readsUntil: Instant = Number.NEGATIVE_INFINITY;
 	/** When the data of this VM was read from the store. */
 	private _dataReadAt: Instant = Number.NEGATIVE_INFINITY;
--- a/src/common/registry/member-registrar.ts
+++ b/src/common/registry/member-registrar.ts
@@ -48,8 +48,8 @@
 };
 
 /**
- * Keeps the entries of all VMs that follow this one under one lease, with few transactions, since each store call is
- * paid for. The failures that are handled are listed in docs/design/platform.md.
+ * Registers this VM's members, that is, the VMs that follow it. Their entries are kept under one lease, with few
+ * transactions, since each store call is paid for. The failures that are handled are listed in docs/design/platform.md.
  */
 export class MemberRegistrar {
 	private readonly _context: RegistryContext;
--- a/src/common/registry/member.ts
+++ b/src/common/registry/member.ts
@@ -19,9 +19,9 @@
 	value: string;
 	state: MemberState;
 	/**
-	 * Range of revisions of this VM's own write: after `previousRevision`, up to `writtenRevision`. If the store counts
-	 * each key of a transaction, it replies with the revision of the last key, and this entry's own revision may be
-	 * lower.
+	 * Bounds of the revision of this VM's own write: later than `previousRevision`, and at most `writtenRevision`. A
+	 * store that counts each key of a transaction replies with the revision of the last key, so that this entry's own
+	 * revision may be lower.
 	 */
 	previousRevision: Revision;
 	writtenRevision: Revision | undefined;
--- a/src/common/registry/own-entry.ts
+++ b/src/common/registry/own-entry.ts
@@ -27,9 +27,9 @@
 
 /** This VM's role in the distribution of the registry feed. */
 export type FeedRole = {
-	/** The VM whose fresh feed is used; undefined = none. */
+	/** The VM whose fresh feed this VM uses; undefined = none. */
 	readonly source: PeerAddress | undefined;
-	/** Other VMs follow this VM's feed. */
+	/** This VM reads the store for others. */
 	readonly isReader: boolean;
 };
 
--- a/src/common/registry/store-mirror.ts
+++ b/src/common/registry/store-mirror.ts
@@ -69,9 +69,7 @@
 	private _retry = minRetryMilliseconds;
 	private _isReading = true;
 	private _isRequestPending = false;
-	/**
-	 * Part of the known state comes from the feed of another VM, which omits entries that are no change for that VM.
-	 */
+	/** Some entries come from the feed of another VM, which omits writes that change nothing for that VM. */
 	private _isFromFeed = false;
 	/** Only a possibly stale list has been read, whose age is unknown. */
 	private _mayBeStale = false;
@@ -83,7 +81,9 @@
 		this._lastContact = context.now;
 	}
 
-	/** Time since the last reply of the store; undefined before the first. */
+	/**
+	 * Time since the last reply of the store; undefined before the first, and while only a stale list has been read.
+	 */
 	contactAge(now: Instant): Milliseconds | undefined {
 		return this._revision === undefined || this._mayBeStale ? undefined : now - this._lastContact;
 	}
@@ -114,7 +114,7 @@
 	/**
 	 * Another VM has sent everything up to this revision; the store was in that state `age` milliseconds ago. A VM that
 	 * reads the store itself continues from its own revision: otherwise it would miss entries that the other VM
-	 * omitted, and publish data that it has not read as its own.
+	 * omitted, and would publish data from the feed as its own reads.
 	 */
 	onFrame(revision: Revision, age: Milliseconds): void {
 		if (this._isReading && this._revision !== undefined) {
@@ -223,9 +223,9 @@
 
 	/**
 	 * Lists everything once after this VM has followed a feed. An entry that lapsed and was written again is no change
-	 * for the source, which does not publish it. A watch from the feed's revision would never return that entry, and
-	 * this VM would remove a backend server that is alive until its entry changes. To limit the price where hundreds of
-	 * VMs lose their readers at once, a stale list is accepted unless it is behind the feed's revision.
+	 * for the source, which does not publish it. A watch from the feed's revision would not return that entry either,
+	 * and this VM would leave out a backend server that is alive until the entry changes. To limit the price when
+	 * hundreds of VMs lose their readers at once, a stale list is accepted unless it is behind the feed's revision.
 	 */
 	private _relist(): void {
 		const feedRevision = this._revision ?? 0;
--- a/src/common/registry/types.ts
+++ b/src/common/registry/types.ts
@@ -1,7 +1,9 @@
 /**
  * Types of a fleet that is coordinated through the platform's store: operators write the configuration there as one
- * document, backend servers register themselves, and VMs find each other. The modules of this folder process the
- * entries; a `DocumentReader` parses and serialises the documents.
+ * document, backend servers register themselves, and VMs find each other. Some VMs of each data centre (readers) read
+ * the store. The others follow the registry feed of a reader (their source), which also registers them in the store (as
+ * their registrar). If a reader is lost, the VM that ranks next (the standby) is the first to read the store in its
+ * place.
  */
 import {type Result} from 'neverthrow';
 import {type BackendServerInForce, type WarmUpLimit} from '../calls/types.ts';
--- a/src/common/registry/vm-directory.ts
+++ b/src/common/registry/vm-directory.ts
@@ -10,7 +10,7 @@
 import {type DocumentReader, type VmEntry} from './types.ts';
 import {type VmProber} from './vm-prober.ts';
 
-/** Most addresses in one answer: a caller uses only a few, and each caller has to store all of them. */
+/** Most addresses in one answer: a caller uses only a few, and each costs bytes at every caller. */
 const maxAddresses = 64;
 
 /** Callers stay in their data centre while it has at least this fraction of an even share of the VMs. */
@@ -37,11 +37,11 @@
 	readonly createdAt: Revision;
 };
 
-/** The VMs in the order in which they read the store. */
+/** Roles that follow from the rank order of the VMs in a data centre. */
 export type VmRanks = {
 	/** This VM reads the store for its data centre. */
 	readonly isReader: boolean;
-	/** This VM is the first to take over from a silent reader. */
+	/** This VM is the first to read the store if a reader falls silent. */
 	readonly isStandby: boolean;
 	/** VMs whose feed to follow, in order of preference. */
 	readonly sources: readonly PeerAddress[];
@@ -192,8 +192,8 @@
 	}
 
 	/**
-	 * Addresses near the caller, while enough VMs serve there. Guards a data centre that has lost most of its VMs: the
-	 * few that are left would receive all of its callers.
+	 * Returns the VMs of the caller's data centre, or all VMs if too few serve there: in a data centre that has lost
+	 * most of its VMs, the few that are left would receive all of its callers.
 	 */
 	answer(service: string, ownEntry: VmEntry | undefined, dataCentre: string | undefined): AddressAnswer {
 		const all = [...this._named().map(vm => vm.entry), ...(ownEntry === undefined ? [] : [ownEntry])];
