--- a/src/common/registry/evacuations-property.test.ts
+++ b/src/common/registry/evacuations-property.test.ts
@@ -2,7 +2,7 @@
 import {type Instant} from '../model/units.ts';
 import {FleetModel, type ModelProcess} from './fleet-model.test.ts';
 
-/** A VM must apply a change within this time, and within an extra time while the store rejects some VMs. */
+/** A VM must apply a change within the first time, plus the second one while the store rejects some VMs. */
 const maxDelayMilliseconds = 5000;
 const extraRejectedMilliseconds = 5000;
 
--- a/src/common/registry/fleet-scale.test.ts
+++ b/src/common/registry/fleet-scale.test.ts
@@ -1,6 +1,6 @@
 /**
- * Requirements on a fleet of hundreds of VMs, in virtual time: which VMs are named to callers, how soon, and at how
- * many store calls.
+ * Requirements on a fleet of hundreds of VMs, in virtual time: which VMs are named to callers (in the addresses that
+ * callers receive), how soon, and at how many store calls.
  */
 import {expect} from 'earl';
 import {FleetModel, type ModelProcess} from './fleet-model.test.ts';
--- a/src/common/registry/lapsed-vms.test.ts
+++ b/src/common/registry/lapsed-vms.test.ts
@@ -107,7 +107,7 @@
 });
 
 describe('the time for which a lost VM is named to callers', () => {
-	// Guards the limit of 6 s for all convergence times.
+	// Guards the limit of 6 s, independent of the convergence time.
 	it('stays half a second below the limit with the default timings', () => {
 		const sums = [2000, 2500, 3000].map(converge => maxLossDetectionMilliseconds({
 			leaseMilliseconds: usualLeaseMilliseconds, memberBeatMilliseconds: memberHeartbeatMilliseconds, watchPauseMilliseconds: 0.4 * converge,
--- a/src/common/registry/lapsed-while-turning.test.ts
+++ b/src/common/registry/lapsed-while-turning.test.ts
@@ -5,8 +5,8 @@
 const others = [entryOf('vms/x', '10.0.0.2:80', 2), entryOf('vms/y', '10.0.0.3:80', 3)];
 
 /**
- * A VM that read the store itself, which did not respond for 6 s, and has just read that both backend server entries
- * have lapsed.
+ * A VM that reads the store itself. After an outage of 6 s it has just read that both backend server entries have
+ * lapsed.
  */
 function afterLapse(): RegistryDriver {
 	const driver = new RegistryDriver();
--- a/src/common/registry/loss-course.test.ts
+++ b/src/common/registry/loss-course.test.ts
@@ -1,6 +1,6 @@
 /**
  * Shared by the tests of lost VMs: a settled fleet, the loss of VMs, and the observation of which VMs are named to
- * callers.
+ * callers (in the addresses that callers receive).
  */
 import {type Milliseconds} from '../model/units.ts';
 import {FleetModel, type ModelProcess} from './fleet-model.test.ts';
@@ -29,7 +29,7 @@
 export type LossResult = {
 	/** Time from the loss until no VM names a lost VM. */
 	readonly namedMilliseconds: Milliseconds;
-	/** Most running VMs that were not named by one VM at a time. */
+	/** Largest number of running VMs that one VM did not name at a time. */
 	readonly missing: number;
 };
 
--- a/src/common/registry/registry-fleet.test.ts
+++ b/src/common/registry/registry-fleet.test.ts
@@ -114,7 +114,8 @@
 		expect(driver.pendingRequests.map(({operation}) => operation.type)).toEqual(['watch', 'keep-lease']);
 	});
 
-	// Guards against an own entry without a renewed lease after the reply to its write was lost.
+	// Guards against an own entry under a lease that is not renewed, after the reply to the write of the entry was
+	// lost.
 	it('replaces an earlier write whose reply was lost', () => {
 		const driver = new RegistryDriver();
 		driver.start(twoServers);
@@ -154,7 +155,7 @@
 		expect(driver.fleet.addresses('orders', 'north').addresses.map(({address}) => address)).toEqual(['10.0.0.2:80', '10.0.0.1:80']);
 	});
 
-	// Guards the last VM of a data centre against all of its callers.
+	// Guards the last VM of a data centre against receiving all of its callers.
 	it('contains all VMs if too few are near the caller', () => {
 		const driver = new RegistryDriver();
 		driver.start([...twoServers, ...[1, 2, 3, 4, 5].map(index => entryOf(`vms/${index}`, `10.1.0.${index}:80`))]);
@@ -171,7 +172,7 @@
 		return driver;
 	}
 
-	// Guards calls accepted late in a planned stop against the end of the process.
+	// Guards against calls that are accepted late in a planned stop and cut off at the end of the process.
 	it('accepts calls only while they can end in time', () => {
 		const driver = stopping(1);
 		driver.passTime(4200);
--- a/src/common/registry/registry-fleet.ts
+++ b/src/common/registry/registry-fleet.ts
@@ -265,8 +265,9 @@
 	}
 
 	/**
-	 * Seeds come first until one VM has sent a fresh feed, even though the list of seeds may be out of date. When a
-	 * whole fleet restarts, the entries of its dead processes name VMs that have only just started to read.
+	 * Seeds come first until one VM has sent a fresh feed, but no longer, since the list of seeds may be out of date.
+	 * When a whole fleet restarts, the entries in the store are those of dead processes, and the VMs that they name
+	 * have only just started to read as well.
 	 */
 	private _ranksWithSeeds(): VmRanks {
 		const {ranks} = this._vms;
--- a/src/common/registry/store-model.test.ts
+++ b/src/common/registry/store-model.test.ts
@@ -28,7 +28,7 @@
 export class StoreModel {
 	/** Cost of all calls so far, by type. */
 	readonly costs = new Map<string, number>();
-	/** VMs that the store does not respond to now. */
+	/** Whether the store does not respond to this VM now. */
 	isSilentTo: (vm: string) => boolean = () => false;
 	/** Time for a request and its reply. */
 	replyMilliseconds: Milliseconds = defaultReplyMilliseconds;
