--- a/src/common/calls/attempt-runner.ts
+++ b/src/common/calls/attempt-runner.ts
@@ -1,4 +1,4 @@
-/** Starts attempts and follows them to their end: retries, hedges, resumed downloads. */
+/** Starts attempts and handles their results: retries, hedges and resumed downloads. */
 import {type Instant} from '../model/units.ts';
 import {type BackendServerState} from './backend-server-state.ts';
 import {
@@ -18,65 +18,67 @@
 	type AttemptFailure, type AttemptId, type CallEvent, type CallOutcome, type LoadReport, type RateLimitNotice, type RefusalReason,
 } from './types.ts';
 
-/** Most attempts that may end in a reset connection: more would let one call crash one backend server after another. */
-const mostResets = 2;
+/** Maximum number of attempts of one call that end in a connection reset. With more, one call could crash one backend server after another. */
+const maxResets = 2;
 
-/** From this status on an answer does not say whether the call ran. */
-const firstServerError = 500;
+/** Answers with this status or a higher one do not show whether the call ran. */
+const minServerErrorStatus = 500;
 
-/** Errors that say that this backend server, and not the call, is at fault. */
+/** Statuses for which the backend server is assumed to be at fault, and not the call. */
 const retryableStatuses = new Set([502, 503, 504]);
 
-/** An internal error is retried only where this part of the backend server's latest calls failed. */
-const failingEnough = 0.3;
+/**
+ * Other server errors are retried only while less than this fraction of the service's latest calls failed, or after two
+ * failures in a row on the backend server. Otherwise the fault is assumed to be common to all backend servers.
+ */
+const maxServiceFailureRate = 0.3;
 
-/** Answer to a range of a download. */
-const partialContent = 206;
+/** Status of an answer to a range request. */
+const partialContentStatus = 206;
 
-/** Failures that prove that nothing ran. */
+/** Failures that prove that the call did not run. */
 const notRunFailures = new Set<AttemptFailure>(['connection-refused', 'not-sent']);
 
 type HeadEvent = Extract<CallEvent, {type: 'attempt-head'}>;
 type FailedEvent = Extract<CallEvent, {type: 'attempt-failed'}>;
 
-/** What the runner needs from its surroundings. */
+/** Dependencies of the runner. */
 export type AttemptRunnerOptions = {
 	readonly context: EngineContext;
 	readonly attempts: Map<AttemptId, Attempt>;
 	readonly placer: Placer;
 	readonly health: HealthJudge;
-	/** Takes a report in and tells peers what is worth telling. */
+	/** Applies a load report and sends important changes to the other VMs. */
 	readonly onReport: (server: BackendServerState, report: LoadReport, now: Instant) => void;
-	/** Takes what the answer to an attempt says of a rate limit. */
+	/** Applies the rate limit in the answer to an attempt, or its absence. */
 	readonly onRateLimit: (attempt: Attempt, rateLimit: RateLimitNotice | undefined, now: Instant) => void;
-	/** Chooses where measuring is on demand. */
+	/** Chooses backend servers for services with on-demand load probes. */
 	readonly demandPlacer: DemandPlacer;
-	/** Sends a measuring call. */
+	/** Sends a load probe. */
 	readonly measure: (server: BackendServerState) => void;
 };
 
-/** Runs attempts. */
 export class AttemptRunner {
 	private readonly _context: EngineContext;
 	private readonly _attempts: Map<AttemptId, Attempt>;
 	private readonly _placer: Placer;
-	private readonly _health: HealthJudge;
+	private readonly _outlierDetector: HealthJudge;
 	private readonly _onReport: AttemptRunnerOptions['onReport'];
 	private readonly _onRateLimit: AttemptRunnerOptions['onRateLimit'];
 	private readonly _demandPlacer: DemandPlacer;
-	/** Fetches reports before attempts of services that are measured on demand. */
+	/** Sends load probes before the attempts of services with on-demand load probes. */
 	readonly prober: LoadProber;
-	/** Decides on second attempts beside slow first ones. */
+	/** Starts a second attempt in parallel to a slow first one. */
 	readonly hedging: Hedging;
 	private _endings: CallEndings | undefined;
-	private _queueCall: ((call: Call, now: Instant) => void) | undefined;
+	private _enqueueCall: ((call: Call, now: Instant) => void) | undefined;
 	private _nextId = 1;
 
 	constructor(options: AttemptRunnerOptions) {
 		this._context = options.context;
 		this._attempts = options.attempts;
 		this._placer = options.placer;
-		this._health = options.health;
+		this._outlierDetector = options.health;
 		this._onReport = options.onReport;
 		this._onRateLimit = options.onRateLimit;
 		this._demandPlacer = options.demandPlacer;
@@ -91,19 +93,19 @@
 		});
 	}
 
-	/** Endings cancel attempts, and attempts end calls: the second of the two is handed over later. */
+	/** Set after construction, since `CallEndings` and `AttemptRunner` depend on each other. */
 	setEndings(endings: CallEndings): void {
 		this._endings = endings;
 	}
 
-	/** Calls for which no backend server was found wait in the queue: the admission hands that over. */
-	setQueue(queueCall: (call: Call, now: Instant) => void): void {
-		this._queueCall = queueCall;
+	/** Sets the function that queues a call for which no backend server was found; `Admission` provides it. */
+	setQueue(enqueueCall: (call: Call, now: Instant) => void): void {
+		this._enqueueCall = enqueueCall;
 	}
 
 	/**
-	 * Starts an attempt, or the fetching of reports for it; false = no backend server may take it now. `reason`
-	 * is what the call is refused with if no backend server is found once the reports are there.
+	 * Starts an attempt, or the load probes that precede it. Returns false if no backend server may take the call now.
+	 * If none is found after the load probes, the call is refused with `reason`.
 	 */
 	start(call: Call, purpose: AttemptPurpose, now: Instant, reason: RefusalReason = 'overloaded'): boolean {
 		if (!call.serviceState.isMeasuredOnDemand) {
@@ -111,7 +113,7 @@
 		}
 
 		if (call.probing !== undefined) {
-			// A hedge was being prepared: it takes the place of the attempt that has failed meanwhile.
+			// The load probes were sent for a hedge; the first attempt has failed meanwhile, so they now serve this attempt.
 			call.probing = {...call.probing, purpose, reason};
 			return true;
 		}
@@ -121,28 +123,28 @@
 		return true;
 	}
 
-	/** Records why no place can be found for a call that is about to be refused. */
+	/** Records why no backend server can be chosen for a call that is about to be refused. */
 	noteGrounds(call: Call, now: Instant): void {
 		if (call.serviceState.isMeasuredOnDemand) {
 			this._demandPlacer.noteGrounds(call, now);
 		}
 	}
 
-	/** Starts the first attempt by what is known already; false = no backend server may take it now. */
+	/** Starts the first attempt without new load probes; false = no backend server may take it now. */
 	startUnprobed(call: Call, now: Instant): boolean {
 		return this._launch(call, 'first', now);
 	}
 
 	private _startProbed(call: Call, {purpose, reason}: PendingProbes, now: Instant): void {
-		const isWanted = purpose === 'hedge' ? call.state === 'running' && call.attempts.size > 0 : call.state !== 'ended' && call.state !== 'answering';
-		if (!isWanted || this._launch(call, purpose, now) || purpose === 'hedge') {
+		const isAllowed = purpose === 'hedge' ? call.state === 'running' && call.attempts.size > 0 : call.state !== 'ended' && call.state !== 'answering';
+		if (!isAllowed || this._launch(call, purpose, now) || purpose === 'hedge') {
 			return;
 		}
 
 		if (purpose === 'first') {
-			this._queueCall!(call, now);
+			this._enqueueCall!(call, now);
 		} else {
-			this._end().refuse(call, reason, now);
+			this._getEndings().refuse(call, reason, now);
 		}
 	}
 
@@ -153,7 +155,7 @@
 			return false;
 		}
 
-		const attempt = this._record(call, purpose, placement, now);
+		const attempt = this._recordAttempt(call, purpose, placement, now);
 		const {server} = placement;
 		this._context.effects.push({
 			type: 'start-attempt',
@@ -171,13 +173,13 @@
 		if (purpose === 'first') {
 			this.hedging.plan(attempt, now);
 		} else if (purpose === 'resume') {
-			this._limitResume(attempt, now);
+			this._setResumeTimeout(attempt, now);
 		}
 
 		return true;
 	}
 
-	/** Forgets an attempt that has ended or is given up. */
+	/** Removes an attempt that has ended or was cancelled. Does nothing if it is removed already. */
 	drop(attempt: Attempt): void {
 		if (!this._attempts.delete(attempt.id)) {
 			return;
@@ -198,7 +200,7 @@
 			this._onReport(server, event.report, now);
 		}
 
-		// A response that turns the call away may come without the headers of those that ran.
+		// A response that sheds the call may lack the rate limit header of a regular answer, so its absence means nothing.
 		if (event.rateLimit !== undefined || !event.isDeclaredNotRun) {
 			this._onRateLimit(attempt, event.rateLimit, now);
 		}
@@ -207,18 +209,18 @@
 			call.serviceState.limit.onShed();
 			server.noteTaken(false, now);
 			call.wasShedWithRoom ||= attempt.prospect.load <= attempt.prospect.slots;
-			this._giveUp(attempt, event.isReplayable ?? isBodiless(call.request), 'overloaded', now);
+			this._cancelShedAttempt(attempt, event.isReplayable ?? isBodiless(call.request), 'overloaded', now);
 			return;
 		}
 
 		if (attempt.purpose === 'resume') {
-			this._continueDownload(attempt, event, now);
+			this._onResumedHead(attempt, event, now);
 			return;
 		}
 
-		const hasFailed = event.status >= firstServerError;
-		this._learn(attempt, hasFailed, event.report, now);
-		if (hasFailed && this._isWorthAnother(attempt, event)) {
+		const hasFailed = event.status >= minServerErrorStatus;
+		this._recordAnswer(attempt, hasFailed, event.report, now);
+		if (hasFailed && this._shouldRetryServerError(attempt, event)) {
 			call.mayHaveRun = true;
 			this._context.effects.push({type: 'cancel-attempt', attemptId: attempt.id});
 			this.drop(attempt);
@@ -227,18 +229,18 @@
 				return;
 			}
 
-			this._end().refuse(call, 'backend-server-failed', now);
+			this._getEndings().refuse(call, 'backend-server-failed', now);
 			return;
 		}
 
-		// Guards the caller against a promise that nobody made: it would take the bare status for "not run".
+		// The caller would read this status as "not run", which the backend server has not declared.
 		if (this._context.settings.notRunStatuses?.has(event.status) === true) {
 			call.mayHaveRun = true;
-			this._end().refuse(call, 'outcome-unknown', now);
+			this._getEndings().refuse(call, 'outcome-unknown', now);
 			return;
 		}
 
-		this._passOn(attempt, event, hasFailed ? 'unknown' : 'ran', now);
+		this._forwardAnswer(attempt, event, hasFailed ? 'unknown' : 'ran', now);
 	}
 
 	onDone(attempt: Attempt, bytes: number, now: Instant): void {
@@ -248,13 +250,13 @@
 		call.serviceState.classes.all.addHold(now - attempt.startedAt);
 		this.drop(attempt);
 		this._context.suspects.clear(call.request.fingerprint, now);
-		this._end().end(call, outcomeSoFar(call), undefined, now);
+		this._getEndings().end(call, outcomeSoFar(call), undefined, now);
 	}
 
 	onFailed(attempt: Attempt, event: FailedEvent, now: Instant): void {
 		const {call} = attempt;
 		call.serviceState.noteAnswer(true);
-		this._health.onAttemptFailed(attempt, event.failure, now);
+		this._outlierDetector.onAttemptFailed(attempt, event.failure, now);
 		if (call.answering?.attempt === attempt || attempt.purpose === 'resume') {
 			this.drop(attempt);
 			call.failedOn.add(attempt.server);
@@ -271,9 +273,9 @@
 	}
 
 	/**
-	 * Another process has taken the backend server's identity: the one that had these calls has lost them, and its
-	 * connections may be silent for good. Reads go elsewhere at once. What may not run twice waits for its answer or its
-	 * timeout: it may have run, or may be running in the new process.
+	 * Handles a backend server whose process was replaced under the same identity. The old process has lost its calls, and
+	 * its connections may stay silent. Idempotent calls without a body are hedged at once. Calls that must not run twice wait
+	 * for their answer or timeout: they may have run, or may be running in the new process.
 	 */
 	onReplaced(server: BackendServerState, now: Instant): void {
 		for (const attempt of server.attempts) {
@@ -284,7 +286,7 @@
 		}
 	}
 
-	private _record(call: Call, purpose: AttemptPurpose, placement: Placement, now: Instant): Attempt {
+	private _recordAttempt(call: Call, purpose: AttemptPurpose, placement: Placement, now: Instant): Attempt {
 		const {server, isExperiment} = placement;
 		const isSuspect = this._context.suspects.isSuspect(call.request.fingerprint);
 		const attempt: Attempt = {
@@ -333,29 +335,29 @@
 	}
 
 	/**
-	 * Guard: the call's deadline ended with its first head, often long ago. Given what was left of it, a resumed
-	 * download would get no time; given no limit, it could wait for its head without end on a connection that
-	 * was lost track of. So it has the time of a call again.
+	 * Limits the wait for the head of a resumed download to the full timeout of a call. The call's deadline applied to its
+	 * first head and has often passed, so the remaining time would be too short; without a limit, a dead connection could
+	 * keep the call waiting forever.
 	 */
-	private _limitResume(attempt: Attempt, now: Instant): void {
+	private _setResumeTimeout(attempt: Attempt, now: Instant): void {
 		const {call} = attempt;
 		call.timers.push(this._context.timers.add(now + call.deadline - call.arrivedAt, {type: 'resume', attempt}));
 	}
 
-	private _learn(attempt: Attempt, hasFailed: boolean, report: LoadReport | undefined, now: Instant): void {
+	private _recordAnswer(attempt: Attempt, hasFailed: boolean, report: LoadReport | undefined, now: Instant): void {
 		attempt.call.serviceState.noteAnswer(hasFailed);
 		if (hasFailed) {
-			this._health.onServerError(attempt, now);
+			this._outlierDetector.onServerError(attempt, now);
 		} else {
 			learnFromAnswer(attempt, report, now);
 		}
 	}
 
-	private _passOn(attempt: Attempt, event: HeadEvent, outcome: CallOutcome, now: Instant): void {
+	private _forwardAnswer(attempt: Attempt, event: HeadEvent, outcome: CallOutcome, now: Instant): void {
 		const {call} = attempt;
 		attempt.hasHead = true;
-		this._health.beforeCancel(call, attempt, now);
-		this._end().cancelAttempts(call, attempt);
+		this._outlierDetector.beforeCancel(call, attempt, now);
+		this._getEndings().cancelAttempts(call, attempt);
 		call.state = 'answering';
 		call.answering = {
 			attempt, status: event.status, outcome, validator: event.validator,
@@ -365,20 +367,20 @@
 		});
 	}
 
-	private _isWorthAnother(attempt: Attempt, event: HeadEvent): boolean {
+	private _shouldRetryServerError(attempt: Attempt, event: HeadEvent): boolean {
 		const {call, server} = attempt;
-		const isServersFault = retryableStatuses.has(event.status) || server.failuresInRow >= 2 || call.serviceState.failing < failingEnough;
-		return isServersFault && call.isIdempotent && (call.attempts.size > 1 || this._mayRetry(call, event.isReplayable ?? isBodiless(call.request)));
+		const isServerFault = retryableStatuses.has(event.status) || server.failuresInRow >= 2 || call.serviceState.failing < maxServiceFailureRate;
+		return isServerFault && call.isIdempotent && (call.attempts.size > 1 || this._mayRetry(call, event.isReplayable ?? isBodiless(call.request)));
 	}
 
-	/** A shed attempt is proof that nothing ran there. */
-	private _giveUp(attempt: Attempt, isReplayable: boolean, reason: RefusalReason, now: Instant): void {
+	/** Cancels an attempt that its backend server shed, which proves that the call did not run there, and retries the call. */
+	private _cancelShedAttempt(attempt: Attempt, isReplayable: boolean, reason: RefusalReason, now: Instant): void {
 		const {call} = attempt;
 		this._context.effects.push({type: 'cancel-attempt', attemptId: attempt.id});
 		this.drop(attempt);
 		call.failedOn.add(attempt.server);
 		if (attempt.purpose === 'resume') {
-			this._end().breakOff(call, now);
+			this._getEndings().breakOff(call, now);
 			return;
 		}
 
@@ -391,23 +393,23 @@
 		}
 
 		const isSafe = call.isIdempotent || !call.mayHaveRun;
-		const isWanted = isSafe && now < call.deadline && !this._isQuarantined(call, now) && this._mayRetry(call, isReplayable);
-		if (isWanted && this.start(call, 'retry', now, reason)) {
+		const isAllowed = isSafe && now < call.deadline && !this._isQuarantined(call, now) && this._mayRetry(call, isReplayable);
+		if (isAllowed && this.start(call, 'retry', now, reason)) {
 			return;
 		}
 
-		this._end().refuse(call, this._isQuarantined(call, now) ? 'quarantined' : reason, now);
+		this._getEndings().refuse(call, this._isQuarantined(call, now) ? 'quarantined' : reason, now);
 	}
 
-	/** Whether rules and budget allow one more attempt; takes it off the budget. */
+	/** Whether the rules and the retry budget allow one more attempt; if so, takes a token from the budget. */
 	private _mayRetry(call: Call, isReplayable: boolean): boolean {
-		return isReplayable && call.request.mayRetry && call.attemptCount < Math.min(mostAttempts, call.request.rule?.mostAttempts ?? mostAttempts) && call.resets < mostResets
+		return isReplayable && call.request.mayRetry && call.attemptCount < Math.min(mostAttempts, call.request.rule?.mostAttempts ?? mostAttempts) && call.resets < maxResets
 			&& call.serviceState.retryBudget.tryTake();
 	}
 
 	/**
-	 * A download that broke off goes on at another backend server only if that has the same version: a
-	 * strong validator and a partial answer prove it. Anything else would join halves of two files.
+	 * Resumes an interrupted download on another backend server if its answer has a strong validator. Only a partial answer
+	 * with the same validator is accepted, since anything else could join parts of two versions.
 	 */
 	private _resumeOrBreakOff(call: Call, event: FailedEvent, now: Instant): void {
 		const {answering} = call;
@@ -419,23 +421,23 @@
 			}
 		}
 
-		this._end().breakOff(call, now);
+		this._getEndings().breakOff(call, now);
 	}
 
-	private _continueDownload(attempt: Attempt, event: HeadEvent, now: Instant): void {
+	private _onResumedHead(attempt: Attempt, event: HeadEvent, now: Instant): void {
 		const {call} = attempt;
-		const before = call.answering!;
-		if (event.status !== partialContent || event.validator !== before.validator) {
-			this._end().cancelAttempts(call);
-			this._end().breakOff(call, now);
+		const forwarded = call.answering!;
+		if (event.status !== partialContentStatus || event.validator !== forwarded.validator) {
+			this._getEndings().cancelAttempts(call);
+			this._getEndings().breakOff(call, now);
 			return;
 		}
 
 		attempt.hasHead = true;
 		attempt.server.lastAnswerAt = now;
-		call.answering = {...before, attempt};
+		call.answering = {...forwarded, attempt};
 		this._context.effects.push({
-			type: 'pass-on', callId: call.request.callId, attemptId: attempt.id, outcome: before.outcome,
+			type: 'pass-on', callId: call.request.callId, attemptId: attempt.id, outcome: forwarded.outcome,
 		});
 	}
 
@@ -443,7 +445,7 @@
 		return this._context.suspects.isQuarantined(call.request.fingerprint, now);
 	}
 
-	private _end(): CallEndings {
+	private _getEndings(): CallEndings {
 		return this._endings!;
 	}
 }
--- a/src/common/calls/call-endings.ts
+++ b/src/common/calls/call-endings.ts
@@ -1,4 +1,4 @@
-/** Ends calls: each exactly once, with an outcome that is true. */
+/** Ends calls. Each call ends exactly once, with an outcome that is proven or `unknown`. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {
 	type Attempt, type Call, objectiveOf, outcomeSoFar,
@@ -25,37 +25,36 @@
 	stopping: 503,
 };
 
-/** Refusals for lack of room: the backlog says when to come back. */
+/** Refusals for lack of capacity: the retry delay follows from the backlog. */
 const backlogReasons = new Set<RefusalReason>(['queue-full', 'overloaded']);
 
-/** Refusals for a fault that others will mend. */
+/** Refusals for a fault outside the call: the caller can retry after a fixed delay. */
 const faultReasons = new Set<RefusalReason>(['no-backend-server', 'key-unavailable', 'not-ready', 'stopping', 'backend-server-failed']);
 
-/** Shortest time after which a refused caller is asked to come back: below it, refusing costs more than serving. */
-const shortestRetryAfter: Milliseconds = 100;
+/** Minimum retry delay of a refused call. With a shorter one, refusals would cost more than answers. */
+const minRetryAfterMilliseconds: Milliseconds = 100;
 
 /**
- * The same where backend servers with free slots turned the call away: the next attempt is as good as any, and its
- * caller still has time for an answer within its objective.
+ * Retry delay if a backend server with a free slot shed the call and no call is queued. Waiting longer would not improve
+ * the chance of the retry, and the caller still has time for an answer within its objective.
  */
-const shedRetryAfter: Milliseconds = 5;
+const shedRetryAfterMilliseconds: Milliseconds = 5;
 
-/** Time after which to come back when something is broken. */
-const faultRetryAfter: Milliseconds = 1000;
+/** Retry delay after a fault, and the maximum wait for a rate limit that is used up. */
+const faultRetryAfterMilliseconds: Milliseconds = 1000;
 
-/** Ends calls. */
 export class CallEndings {
 	private readonly _context: EngineContext;
 	private readonly _calls: Map<CallId, Call>;
-	private readonly _dropAttempt: (attempt: Attempt) => void;
+	private readonly _removeAttempt: (attempt: Attempt) => void;
 
-	constructor(context: EngineContext, calls: Map<CallId, Call>, dropAttempt: (attempt: Attempt) => void) {
+	constructor(context: EngineContext, calls: Map<CallId, Call>, removeAttempt: (attempt: Attempt) => void) {
 		this._context = context;
 		this._calls = calls;
-		this._dropAttempt = dropAttempt;
+		this._removeAttempt = removeAttempt;
 	}
 
-	/** Refuses a call of which no record is kept. */
+	/** Refuses a call that the engine has no record of. */
 	refuseUnheard(request: CallRequest, reason: RefusalReason): void {
 		this._context.effects.push({
 			type: 'refuse',
@@ -63,7 +62,7 @@
 			status: refusalStatus[reason],
 			reason,
 			outcome: 'not-run',
-			retryAfterMilliseconds: faultReasons.has(reason) ? this._spread(faultRetryAfter) : undefined,
+			retryAfterMilliseconds: faultReasons.has(reason) ? this._addJitter(faultRetryAfterMilliseconds) : undefined,
 		}, {
 			type: 'call-ended',
 			callId: request.callId,
@@ -73,29 +72,29 @@
 		});
 	}
 
-	/** The final answer, at once. What still runs for the call is cancelled. */
+	/** Sends the final answer at once and cancels all attempts of the call. */
 	refuse(call: Call, reason: RefusalReason, now: Instant, outcome?: CallOutcome): void {
 		this.cancelAttempts(call);
-		const known = outcome ?? outcomeSoFar(call);
-		this._releaseKey(call, known);
+		const finalOutcome = outcome ?? outcomeSoFar(call);
+		this._releaseKey(call, finalOutcome);
 		this._context.effects.push({
 			type: 'refuse',
 			callId: call.request.callId,
 			status: refusalStatus[reason],
 			reason,
-			outcome: known,
+			outcome: finalOutcome,
 			retryAfterMilliseconds: this._retryAfter(call, reason, now),
 		});
-		this.end(call, known, reason, now);
+		this.end(call, finalOutcome, reason, now);
 	}
 
-	/** A half-passed-on answer that cannot be completed: its caller must see that. */
+	/** Aborts a partly forwarded answer that cannot be completed, so that the caller detects the truncation. */
 	breakOff(call: Call, now: Instant): void {
 		this._context.effects.push({type: 'break-off', callId: call.request.callId});
 		this.end(call, outcomeSoFar(call), 'backend-server-failed', now);
 	}
 
-	/** The caller has gone: nothing is answered, and nothing goes on in vain. */
+	/** Ends a call whose caller has disconnected: cancels its attempts and sends no answer. */
 	abandon(call: Call, now: Instant): void {
 		this.cancelAttempts(call);
 		this.end(call, outcomeSoFar(call), undefined, now);
@@ -115,7 +114,7 @@
 		call.timers.length = 0;
 		this._calls.delete(call.request.callId);
 		const milliseconds = now - call.arrivedAt;
-		const isWhole = outcome === 'ran' && reason === undefined;
+		const isCompleteAnswer = outcome === 'ran' && reason === undefined;
 		this._context.effects.push({
 			type: 'call-ended',
 			callId: call.request.callId,
@@ -128,23 +127,23 @@
 				queuedMilliseconds: (call.firstStartedAt ?? now) - call.arrivedAt,
 				...(call.trail === undefined ? {} : {trail: call.trail}),
 				...(call.grounds === undefined ? {} : {grounds: call.grounds}),
-				isGood: isWhole && milliseconds <= objectiveOf(call),
+				isGood: isCompleteAnswer && milliseconds <= objectiveOf(call),
 			},
 		});
 	}
 
-	/** Gives up all attempts but one, and says so to their backend servers. */
-	cancelAttempts(call: Call, kept?: Attempt): void {
+	/** Cancels all attempts except the winner, also on their backend servers. */
+	cancelAttempts(call: Call, winner?: Attempt): void {
 		for (const attempt of call.attempts) {
-			if (attempt !== kept) {
+			if (attempt !== winner) {
 				this._context.effects.push({type: 'cancel-attempt', attemptId: attempt.id});
 				call.mayHaveRun ||= attempt.isSent;
-				this._dropAttempt(attempt);
+				this._removeAttempt(attempt);
 			}
 		}
 	}
 
-	/** A key whose call did not run must be free for the caller's next sending. */
+	/** Frees the idempotency key of a call that did not run, so that the caller's next request can claim it. */
 	private _releaseKey(call: Call, outcome: CallOutcome): void {
 		const key = call.request.idempotencyKey;
 		if (call.hasKey && outcome === 'not-run' && key !== undefined) {
@@ -157,18 +156,18 @@
 		if (backlogReasons.has(reason)) {
 			const service = call.serviceState;
 			if (call.wasShedWithRoom && service.queue.size === 0) {
-				return this._spread(shedRetryAfter);
+				return this._addJitter(shedRetryAfterMilliseconds);
 			}
 
-			const untilAllowed = Math.min(faultRetryAfter, whenLimitsAllow(this._context, service, now) - now);
-			return this._spread(Math.max(shortestRetryAfter, untilAllowed, service.waitFor(service.queue.size + 1)));
+			const untilLimitAllows = Math.min(faultRetryAfterMilliseconds, whenLimitsAllow(this._context, service, now) - now);
+			return this._addJitter(Math.max(minRetryAfterMilliseconds, untilLimitAllows, service.waitFor(service.queue.size + 1)));
 		}
 
-		return faultReasons.has(reason) ? this._spread(faultRetryAfter) : undefined;
+		return faultReasons.has(reason) ? this._addJitter(faultRetryAfterMilliseconds) : undefined;
 	}
 
-	/** Up to twice the time: callers refused together must not come back together. */
-	private _spread(time: Milliseconds): Milliseconds {
+	/** Adds a random delay of up to 100 %, so that callers that are refused together do not retry together. */
+	private _addJitter(time: Milliseconds): Milliseconds {
 		return time * (1 + this._context.random.next());
 	}
 }
--- a/src/common/calls/call-engine.property.test.ts
+++ b/src/common/calls/call-engine.property.test.ts
@@ -30,7 +30,7 @@
 		if (action < 4) {
 			this._arrive(choice);
 		} else if (action < 10 && attempt !== undefined) {
-			this._moveOn(attempt, choice);
+			this._advanceAttempt(attempt, choice);
 		} else {
 			switch (action) {
 				case 10: {
@@ -40,13 +40,13 @@
 				}
 
 				case 11: {
-					this._gone(choice);
+					this._disconnectCaller(choice);
 
 					break;
 				}
 
 				case 12: {
-					this._leave(choice);
+					this._startLeaving(choice);
 
 					break;
 				}
@@ -116,8 +116,8 @@
 		this._check(!call.isEnded && !call.isClaiming, `call ${call.callId} starts after its end or before its key`);
 		this._check(mayStart, `order ${call.callId} starts again without proof`);
 		this._check(!this.leaving.has(effect.identity), `${effect.identity} leaves and gets a call`);
-		const held = [...this.attempts.values()].filter(attempt => attempt.isLive && attempt.identity === effect.identity).length;
-		this._check(held < effect.connectionLimit, `${effect.identity} gets more connections than its part`);
+		const openCount = [...this.attempts.values()].filter(attempt => attempt.isLive && attempt.identity === effect.identity).length;
+		this._check(openCount < effect.connectionLimit, `${effect.identity} gets more connections than its part`);
 		const attempt: ModelAttempt = {
 			id: effect.attemptId, callId: effect.callId, identity: effect.identity, isSent: false, hasHead: false, isLive: true, isProvenNotRun: false,
 		};
@@ -160,7 +160,7 @@
 		});
 	}
 
-	private _moveOn(attempt: ModelAttempt, choice: number): void {
+	private _advanceAttempt(attempt: ModelAttempt, choice: number): void {
 		if (!attempt.isSent && choice % 3 !== 0) {
 			this._feed({type: 'attempt-sent', attemptId: attempt.id}, () => {
 				attempt.isSent = true;
@@ -215,7 +215,7 @@
 		}
 	}
 
-	private _gone(choice: number): void {
+	private _disconnectCaller(choice: number): void {
 		const open = [...this.calls.values()].filter(call => !call.isEnded);
 		const call = open[choice % Math.max(1, open.length)];
 		if (call !== undefined) {
@@ -223,7 +223,7 @@
 		}
 	}
 
-	private _leave(choice: number): void {
+	private _startLeaving(choice: number): void {
 		const identity = `identity-${choice % 4}`;
 		if (this.leaving.size < 3 && choice % 5 === 0) {
 			this.leaving.add(identity);
@@ -236,8 +236,8 @@
 	}
 
 	/** What has happened is true before the engine is told of it. */
-	private _feed(event: CallEvent, happen?: () => void): void {
-		happen?.();
+	private _feed(event: CallEvent, updateModel?: () => void): void {
+		updateModel?.();
 		this.take(this.driver.handle(event));
 	}
 
--- a/src/common/calls/call-engine.test.ts
+++ b/src/common/calls/call-engine.test.ts
@@ -7,7 +7,7 @@
 const read = {method: 'GET', path: '/spans/17', bodyBytes: 0} as const;
 
 /** Answers enough reads after 10 ms each for the engine to know what is usual. */
-function teachUsualTime(driver: EngineDriver): void {
+function recordUsualAnswerTime(driver: EngineDriver): void {
 	for (let callId = 1000; callId < 1200; callId++) {
 		const attempt = driver.start(requestOf(callId, read))!;
 		driver.sent(attempt.attemptId);
@@ -86,7 +86,7 @@
 		// has not come after 30. A second backend server answers, and the first attempt's late answer
 		// reaches nobody.
 		const driver = new EngineDriver(configurationOf(5));
-		teachUsualTime(driver);
+		recordUsualAnswerTime(driver);
 		const first = driver.start(requestOf(1, read))!;
 		driver.sent(first.attemptId);
 		const second = startIn(driver.passTime(30))!;
@@ -99,7 +99,7 @@
 	it('never tries an order a second time for being slow', () => {
 		// The same stall with an order in the slot: a second attempt could book it twice.
 		const driver = new EngineDriver(configurationOf(5));
-		teachUsualTime(driver);
+		recordUsualAnswerTime(driver);
 		driver.sent(driver.start(requestOf(1))!.attemptId);
 		expect(driver.passTime(900)).toEqual([]);
 	});
--- a/src/common/calls/call-engine.ts
+++ b/src/common/calls/call-engine.ts
@@ -1,4 +1,4 @@
-/** The decider of all calls on one VM: takes events, keeps time, and hands them to the parts that decide. */
+/** The call engine of one VM: dispatches events and due timers to the parts that decide on calls. */
 import {type Instant, type RandomSource} from '../model/units.ts';
 import {Admission} from './admission.ts';
 import {AttemptRunner} from './attempt-runner.ts';
@@ -21,30 +21,29 @@
 	type AttemptId, type CallEffect, type CallEngine, type CallEngineStatus, type CallLoad, type CallEvent, type CallId, type CallRequest, type KeyClaim,
 } from './types.ts';
 
-/** Events that bring knowledge and belong to no call. */
-type KnowledgeEvent = Extract<CallEvent, {
+/** Events that update the engine's state and belong to no call. */
+type StateUpdateEvent = Extract<CallEvent, {
 	type: 'configured' | 'shares' | 'cut-off' | 'peer-updates' | 'backend-server-leaving' | 'measured' | 'quarantine-lifted';
 }>;
 
-/** What an engine is made of. */
+/** Parts and settings of an engine. */
 export type CallEngineOptions = {
 	readonly random: RandomSource;
 	readonly settings: CallEngineSettings;
-	/** Numbers other than the defaults. */
+	/** Values that replace those of `defaultTuning`. */
 	readonly tuning?: Partial<CallTuning>;
-	/** How VMs share the rate of a warming backend server; undefined = this one shares with no other. */
+	/** Divides the call rate of a warming backend server among the VMs; undefined = this VM may use all of it. */
 	readonly rateQuota?: RateQuota;
 };
 
-/** The engine. */
 export class DefaultCallEngine implements CallEngine {
 	private readonly _context: EngineContext;
 	private readonly _calls = new Map<CallId, Call>();
 	private readonly _attempts = new Map<AttemptId, Attempt>();
-	/** Calls whose claim of a key is not answered yet; some may have ended meanwhile. */
-	private readonly _claims = new Map<CallId, Call>();
+	/** Calls whose idempotency key claim is pending; some of them may have ended already. */
+	private readonly _pendingKeyClaims = new Map<CallId, Call>();
 	private readonly _directory: ServiceDirectory;
-	private readonly _health: HealthJudge;
+	private readonly _outlierDetector: HealthJudge;
 	private readonly _runner: AttemptRunner;
 	private readonly _endings: CallEndings;
 	private readonly _admission: Admission;
@@ -66,7 +65,7 @@
 			effects: [],
 		};
 		this._directory = new ServiceDirectory(this._context);
-		this._health = new HealthJudge(this._context);
+		this._outlierDetector = new HealthJudge(this._context);
 		this._runner = new AttemptRunner({
 			context: this._context,
 			attempts: this._attempts,
@@ -75,7 +74,7 @@
 			measure: server => {
 				this._directory.measureNow(server);
 			},
-			health: this._health,
+			health: this._outlierDetector,
 			onReport: (server, report, now) => {
 				this._directory.takeAnswerReport(server, report, now);
 			},
@@ -134,38 +133,38 @@
 
 	private _dispatch(event: CallEvent, now: Instant): void {
 		if ('attemptId' in event) {
-			this._attemptEvent(event, now);
+			this._onAttemptEvent(event, now);
 			return;
 		}
 
 		switch (event.type) {
 			case 'call-arrived': {
-				this._arrive(event.request, now);
+				this._onCallArrived(event.request, now);
 				break;
 			}
 
 			case 'caller-gone': {
-				this._abandon(event.callId, now);
+				this._onCallerGone(event.callId, now);
 				break;
 			}
 
 			case 'placing-held': {
-				this._holdPlacing(event.isHeld);
+				this._setPlacingHeld(event.isHeld);
 				break;
 			}
 
 			case 'process-ending': {
-				this._refuseAtEnd(event.isOver, now);
+				this._onProcessEnding(event.isOver, now);
 				break;
 			}
 
 			case 'key-claimed': {
-				this._keyClaimed(event.callId, event.claim, now);
+				this._onKeyClaimed(event.callId, event.claim, now);
 				break;
 			}
 
 			case 'tick': {
-				this._tick(now);
+				this._onTick(now);
 				break;
 			}
 
@@ -176,13 +175,13 @@
 			case 'backend-server-leaving':
 			case 'measured':
 			case 'quarantine-lifted': {
-				this._learn(event, now);
+				this._applyStateUpdate(event, now);
 				break;
 			}
 		}
 	}
 
-	private _learn(event: KnowledgeEvent, now: Instant): void {
+	private _applyStateUpdate(event: StateUpdateEvent, now: Instant): void {
 		switch (event.type) {
 			case 'configured': {
 				this._directory.configure(event.configuration, now);
@@ -229,8 +228,8 @@
 		}
 	}
 
-	private _attemptEvent(event: Extract<CallEvent, {attemptId: AttemptId}>, now: Instant): void {
-		// Late events of an attempt that was given up finds nothing here and changes nothing.
+	private _onAttemptEvent(event: Extract<CallEvent, {attemptId: AttemptId}>, now: Instant): void {
+		// The attempt is missing if it was cancelled: its late events are ignored.
 		const attempt = this._attempts.get(event.attemptId);
 		if (attempt === undefined) {
 			return;
@@ -259,7 +258,7 @@
 		}
 	}
 
-	private _arrive(request: CallRequest, now: Instant): void {
+	private _onCallArrived(request: CallRequest, now: Instant): void {
 		const service = this._directory.service(request.service);
 		if (service === undefined) {
 			this._endings.refuseUnheard(request, this._directory.version === undefined ? 'not-ready' : 'unknown-service');
@@ -275,7 +274,7 @@
 			return;
 		}
 
-		// Old configuration may send an order to a backend server that is no longer the service's.
+		// With an outdated configuration, a non-idempotent call could run on a backend server that no longer belongs to the service.
 		if (this._isCutOff && !call.isIdempotent) {
 			this._endings.refuse(call, 'not-ready', now);
 			return;
@@ -283,7 +282,7 @@
 
 		if (service.declared.claimsIdempotencyKeys && request.idempotencyKey !== undefined) {
 			call.state = 'claiming';
-			this._claims.set(request.callId, call);
+			this._pendingKeyClaims.set(request.callId, call);
 			this._context.effects.push({
 				type: 'claim-key', callId: request.callId, service: service.declared.name, key: request.idempotencyKey,
 			});
@@ -293,15 +292,15 @@
 		this._admission.admit(call, now);
 	}
 
-	/** Once it may go on, every service looks at its queue. */
-	private _holdPlacing(isHeld: boolean): void {
+	/** Holds or resumes placing. When placing resumes, the queues of all services are drained. */
+	private _setPlacingHeld(isHeld: boolean): void {
 		this._context.isPlacingHeld = isHeld;
 		for (const service of isHeld ? [] : this._directory.allServices()) {
 			this._context.freed.add(service);
 		}
 	}
 
-	private _abandon(callId: CallId, now: Instant): void {
+	private _onCallerGone(callId: CallId, now: Instant): void {
 		const call = this._calls.get(callId);
 		if (call !== undefined) {
 			this._endings.abandon(call, now);
@@ -309,11 +308,11 @@
 	}
 
 	/**
-	 * Guards callers against an end of the process that cuts their calls without a word. What never left it is told that it
-	 * has not run, while there is time to tell. What was sent keeps its chance of an answer to the last moment, and is then
-	 * told that its outcome is unknown; an answer that is being passed on can only be cut.
+	 * Answers open calls before the process ends, so that no caller just loses its connection. Calls that were never sent
+	 * are refused as not run while there is time for it. Sent calls can still be answered until the end and are then refused
+	 * with an unknown outcome. An answer that is being forwarded cannot be refused and is cut.
 	 */
-	private _refuseAtEnd(isOver: boolean, now: Instant): void {
+	private _onProcessEnding(isOver: boolean, now: Instant): void {
 		for (const call of this._calls.values()) {
 			const mayRun = call.state === 'claiming' || outcomeSoFar(call) !== 'not-run' || [...call.attempts].some(attempt => attempt.isSent);
 			if (!mayRun) {
@@ -324,15 +323,15 @@
 		}
 	}
 
-	private _keyClaimed(callId: CallId, claim: KeyClaim, now: Instant): void {
-		const call = this._claims.get(callId);
-		this._claims.delete(callId);
+	private _onKeyClaimed(callId: CallId, claim: KeyClaim, now: Instant): void {
+		const call = this._pendingKeyClaims.get(callId);
+		this._pendingKeyClaims.delete(callId);
 		if (call === undefined) {
 			return;
 		}
 
 		if (call.state !== 'claiming') {
-			// The call ended while the claim was under way: the key must not stay taken for nothing.
+			// The call ended while the claim was pending and will not use the key.
 			if (claim.type === 'granted') {
 				this._context.effects.push({type: 'release-key', service: call.service.name, key: call.request.idempotencyKey!});
 			}
@@ -346,29 +345,29 @@
 			return;
 		}
 
-		// The key names the operation, not this sending of it: an earlier sending may have run.
+		// The key identifies the operation, not this request: an earlier request with the same key may have run.
 		this._endings.refuse(call, claim.type === 'taken' ? 'key-taken' : 'key-unavailable', now, 'unknown');
 	}
 
-	private _tick(now: Instant): void {
+	private _onTick(now: Instant): void {
 		const {timers} = this._context;
 		for (let timer = timers.takeDue(now); timer !== undefined; timer = timers.takeDue(now)) {
 			if (isTimerLive(timer)) {
-				this._fire(timer, now);
+				this._onTimer(timer, now);
 			}
 		}
 
 		this._directory.measure(now);
 	}
 
-	private _fire(timer: Timer, now: Instant): void {
+	private _onTimer(timer: Timer, now: Instant): void {
 		switch (timer.type) {
 			case 'deadline': {
 				for (const attempt of timer.call.attempts) {
-					this._health.onGivenUp(attempt, now);
+					this._outlierDetector.onGivenUp(attempt, now);
 				}
 
-				// Until its claim is answered nobody knows whether an earlier sending of the key ran.
+				// While the claim is pending, an earlier request with the same key may have run.
 				this._endings.refuse(timer.call, 'deadline-exceeded', now, timer.call.state === 'claiming' ? 'unknown' : undefined);
 				break;
 			}
@@ -395,7 +394,7 @@
 			}
 
 			case 'resume': {
-				this._health.onGivenUp(timer.attempt, now);
+				this._outlierDetector.onGivenUp(timer.attempt, now);
 				this._endings.cancelAttempts(timer.attempt.call);
 				this._endings.breakOff(timer.attempt.call, now);
 				break;
--- a/src/common/calls/call-summary.ts
+++ b/src/common/calls/call-summary.ts
@@ -1,62 +1,62 @@
-/** What is told of a call that has ended: its outcome, its attempts, and what each choice of a place went by. */
+/** Summary of an ended call: its outcome, its attempts, and the data behind each choice of a backend server. */
 import {type Milliseconds} from '../model/units.ts';
 import {type BackendServerIdentity, type CallOutcome, type RefusalReason} from './types.ts';
 
-/** Why an attempt went where it went: what was known when it was placed. */
+/** One attempt of a call, with the data by which its backend server was chosen. */
 export type AttemptRecord = {
 	readonly backendServer: BackendServerIdentity;
 	readonly purpose: string;
-	/** Milliseconds since the call arrived. */
+	/** Start of the attempt, counted from the arrival of the call. */
 	readonly atMilliseconds: Milliseconds;
-	/** Calls believed to be there, of its slots. */
+	/** Estimated number of calls on the backend server, and its number of slots. */
 	readonly load: number;
 	readonly slots: number;
-	/** Work time against the usual, as reported; undefined = never reported. */
+	/** Reported work time as a multiple of the usual one; undefined = never reported. */
 	readonly workTimeFactor: number | undefined;
-	/** Age of that report; undefined = there was none. */
+	/** Age of the latest load report; undefined = there was none. */
 	readonly reportAgeMilliseconds: Milliseconds | undefined;
-	/** What the choice went by. */
+	/** Data behind the choice; undefined unless load probes are on demand. */
 	readonly grounds: PlacingGrounds | undefined;
 };
 
-/** How a place was chosen: a free slot in time, a queue in time, a slow backend server, a half empty one, or none at all. */
+/** Kind of the chosen backend server: a free slot in time, a queue that is short enough, a slow one, a half empty one, or none. */
 export type PlacingChoice = 'free' | 'queued' | 'slow' | 'idle' | 'none';
 
-/** What the latest look for a place saw, and by which limits it judged. Chances are parts of 1. */
+/** Data and limits of the latest choice of a backend server. Probabilities are between 0 and 1. */
 export type PlacingGrounds = {
 	readonly choice: PlacingChoice;
-	/** Backend servers of the service that are known here. */
+	/** Number of backend servers of the service that this VM has in its configuration. */
 	readonly known: number;
-	/** Those of them that stand in a data centre that is evacuated. */
+	/** Number of those in an evacuated data centre. */
 	readonly evacuated: number;
-	/** Those of them that warm up and get no further call of this VM now. */
+	/** Number of those that are warming up and may not get another call from this VM now. */
 	readonly warmingUp: number;
-	/** Those of them that name a rate limit of which this VM's share is spent now. */
+	/** Number of those with a rate limit of which this VM has used up its share. */
 	readonly rateLimited: number;
-	/** Those of them that may take the call: not leaving, with room, and not one that has failed it. */
+	/** Number of those that may take the call: not leaving, with free capacity, and without a failed attempt of this call. */
 	readonly able: number;
-	/** Those of them that were weighed: with a young report where there are any. */
+	/** Number of those that were compared: only those with a recent report, if there are any. */
 	readonly weighed: number;
-	/** Those of them with a free slot. */
+	/** Number of those with a free slot. */
 	readonly withFreeSlot: number;
-	/** Best chance of an answer within the objective, and the chance that was asked for. */
+	/** Highest probability of an answer within the objective, and the required probability. */
 	readonly inTime: number;
 	readonly inTimeNeeded: number;
-	/** Best chance of an answer before the deadline. */
+	/** Highest probability of an answer before the deadline. */
 	readonly atAll: number;
-	/** Time that the work of the call takes where nothing slows it down; `isWorkLearnt` false = assumed. */
+	/** Work time of the call on a backend server that is not slowed down; assumed if `isWorkLearnt` is false. */
 	readonly workMilliseconds: Milliseconds;
 	readonly isWorkLearnt: boolean;
-	/** Time left for an answer within the objective, and before the deadline. */
+	/** Remaining time until the objective and until the deadline. */
 	readonly objectiveLeftMilliseconds: Milliseconds;
 	readonly timeLeftMilliseconds: Milliseconds;
 };
 
-/** What a call came to. */
+/** Result of a call. */
 export type CallSummary = {
-	/** Its attempts in order, where measuring is on demand. */
+	/** Attempts in order; undefined unless load probes are on demand. */
 	readonly trail?: readonly AttemptRecord[];
-	/** What the latest look for a place saw; undefined = none was looked for, or measuring is by the clock. */
+	/** Data behind the latest choice of a backend server; undefined if none was chosen or load probes are not on demand. */
 	readonly grounds?: PlacingGrounds;
 	readonly service: string;
 	readonly outcome: CallOutcome;
@@ -64,6 +64,6 @@
 	readonly attempts: number;
 	readonly milliseconds: Milliseconds;
 	readonly queuedMilliseconds: Milliseconds;
-	/** Within the service's objective: whole answer, no server error, in time. */
+	/** True for a complete answer without a server error within the call's latency objective. */
 	readonly isGood: boolean;
 };
--- a/src/common/calls/call.ts
+++ b/src/common/calls/call.ts
@@ -1,4 +1,4 @@
-/** What the engine keeps of a call and of its attempts while they live. */
+/** The records of a call and its attempts, kept until they end. */
 import {type Service} from '../model/resources.ts';
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type Prospect} from './answer-time-model.ts';
@@ -11,7 +11,7 @@
 	type AttemptId, type AttemptRecord, type CallOutcome, type CallRequest, type PlacingGrounds,
 } from './types.ts';
 
-/** Where a call stands. */
+/** State of a call. */
 export type CallState = 'claiming' | 'queued' | 'running' | 'answering' | 'ended';
 
 /** Why an attempt was started. */
@@ -24,25 +24,25 @@
 	readonly server: BackendServerState;
 	readonly purpose: AttemptPurpose;
 	readonly startedAt: Instant;
-	/** Calls more than usual that were reported there when it was chosen. */
+	/** Number of reported calls above the usual number, when the backend server was chosen. */
 	readonly signal: number;
-	/** What was known of the backend server when it was chosen. */
+	/** Estimates for the backend server when it was chosen. */
 	readonly prospect: Prospect;
-	/** Process of the backend server as known at the start: the crash it may die in. */
+	/** Process of the backend server at the start of the attempt; a crash during the attempt is attributed to this process. */
 	readonly instance: string | undefined;
-	/** The one call that a backend server in doubt gets. */
+	/** True for the single trial call that a backend server in state `doubted` or `probing` gets. */
 	readonly isExperiment: boolean;
-	/** It may crash its backend server: nothing else is placed beside it. */
+	/** True if the call may crash its backend server: other calls avoid that server meanwhile. */
 	readonly isSuspect: boolean;
-	/** Its backend server was warming up when it started. */
+	/** True if the backend server was warming up when the attempt started. */
 	readonly isWarmUp: boolean;
-	/** The first byte has left: from here on it may run. */
+	/** True once the first byte was sent; from then on the call may run. */
 	isSent: boolean;
 	hasHead: boolean;
 };
 
-/** The answer that is being passed on. */
-export type Answering = {
+/** The answer that is being forwarded to the caller. */
+export type ForwardedAnswer = {
 	readonly attempt: Attempt;
 	readonly status: number;
 	readonly outcome: CallOutcome;
@@ -52,48 +52,48 @@
 /** One call. */
 export type Call = {
 	readonly request: CallRequest;
-	/** As declared when the call arrived: its rules hold to its end. */
+	/** The service as declared when the call arrived; these rules apply until the call ends. */
 	readonly service: Service;
 	readonly serviceState: ServiceState;
 	readonly class: CallClass;
 	readonly arrivedAt: Instant;
-	/** Until then its answer is worth most. A caller that comes back has used part of that time before. */
+	/** End of the time for a good answer. Earlier if the caller is retrying and has used part of that time already. */
 	readonly objectiveAt: Instant;
-	/** After it nobody waits for the head of an answer. */
+	/** Time until which the caller waits for the head of an answer. */
 	readonly deadline: Instant;
 	readonly isIdempotent: boolean;
 	state: CallState;
-	/** Everything that is to become due for it; taken out of the queue when it ends. */
+	/** Pending timers of the call, removed from the timer queue when it ends. */
 	readonly timers: Array<TimerEntry<unknown>>;
-	/** It holds a granted claim of its idempotency key. */
+	/** True while the call holds its idempotency key. */
 	hasKey: boolean;
-	/** Attempts that have neither ended nor been given up. */
+	/** Attempts that have neither ended nor been cancelled. */
 	readonly attempts: Set<Attempt>;
 	attemptCount: number;
-	/** An attempt that is over may have run: a call that is not idempotent must not start again. */
+	/** True if an ended attempt may have run; a non-idempotent call is not attempted again then. */
 	mayHaveRun: boolean;
-	answering: Answering | undefined;
+	answering: ForwardedAnswer | undefined;
 	firstStartedAt: Instant | undefined;
 	/** Backend servers that have failed this call. */
 	readonly failedOn: Set<BackendServerState>;
-	/** Its attempts and what decided on them; undefined where measuring is by the clock. */
+	/** Records of its attempts and the reasons for each choice; undefined unless load probes are on demand. */
 	readonly trail: AttemptRecord[] | undefined;
-	/** What the latest look for a place saw. */
+	/** Data behind the latest choice of a backend server. */
 	grounds: PlacingGrounds | undefined;
-	/** Reports are being fetched for its next attempt. */
+	/** Pending load probes for its next attempt. */
 	probing: PendingProbes | undefined;
-	/** A backend server that had a free slot turned it away: it fails, and is not full. */
+	/** True if a backend server with a free slot shed the call, which indicates a fault and not a full server. */
 	wasShedWithRoom: boolean;
-	/** Attempts whose connection was reset after sending: a second one makes the call a suspect at two crashes. */
+	/** Attempts whose connection was reset after sending. A second one makes the call a suspect in two crashes. */
 	resets: number;
 };
 
-/** A fresh record of a call. */
+/** Creates the record of a new call. */
 export function newCall(request: CallRequest, serviceState: ServiceState, now: Instant): Call {
 	const {declared} = serviceState;
 	const {rule} = request;
-	const longest = rule?.timeoutMilliseconds ?? declared.timeoutMilliseconds;
-	const timeout: Milliseconds = Math.min(request.timeoutMilliseconds ?? longest, longest);
+	const maxTimeout = rule?.timeoutMilliseconds ?? declared.timeoutMilliseconds;
+	const timeout: Milliseconds = Math.min(request.timeoutMilliseconds ?? maxTimeout, maxTimeout);
 	const objective: Milliseconds = rule?.objectiveMilliseconds ?? declared.objective.latencyMilliseconds;
 	return {
 		request,
@@ -121,7 +121,7 @@
 	};
 }
 
-/** What is known of whether a call ran, from attempts that are over and those that are not. */
+/** Whether the call ran, from its ended attempts and the answer that is being forwarded. */
 export function outcomeSoFar(call: Call): CallOutcome {
 	if (call.answering !== undefined) {
 		return call.answering.outcome;
@@ -130,20 +130,20 @@
 	return call.mayHaveRun ? 'unknown' : 'not-run';
 }
 
-/** Time within which the answer of a call is worth most. */
+/** Latency objective of a call: of its route, else of its service. */
 export function objectiveOf(call: Call): Milliseconds {
 	return call.request.rule?.objectiveMilliseconds ?? call.service.objective.latencyMilliseconds;
 }
 
-/** Part of its objective that a call's work is taken to need until an answer has told. */
-const assumedWorkPart = 0.35;
+/** Work time as a fraction of the objective, assumed until the first answer of the call's class. */
+const assumedWorkFraction = 0.35;
 
-/** Time that the work of a call takes at a backend server that nothing slows down. */
+/** Estimated work time of a call on a backend server that is not slowed down. */
 export function workEstimate(call: Call): Milliseconds {
-	return call.class.hasWork ? call.class.workMean : assumedWorkPart * objectiveOf(call);
+	return call.class.hasWork ? call.class.workMean : assumedWorkFraction * objectiveOf(call);
 }
 
-/** A call without a body to keep: it can be sent again as it is. */
+/** Whether a call has no body that needs buffering for a retry. */
 export function isBodiless(request: CallRequest): boolean {
 	return request.method === 'GET' || request.method === 'HEAD' || request.bodyBytes === 0;
 }
--- a/src/common/calls/crash-suspects.test.ts
+++ b/src/common/calls/crash-suspects.test.ts
@@ -5,7 +5,7 @@
 } from './engine-driver.test.ts';
 import {type CallEffect, type LoadUpdate} from './types.ts';
 
-function updateOf(effects: readonly CallEffect[]): LoadUpdate[] {
+function updatesIn(effects: readonly CallEffect[]): LoadUpdate[] {
 	return effects.filter(effect => effect.type === 'tell-peers').map(effect => effect.update);
 }
 
@@ -28,15 +28,15 @@
 				}],
 			});
 			const attemptId = this._placeOn(vm, identity, fingerprint);
-			this.tell(vm, vm.fail(attemptId, 'reset-after-sending'));
+			this.sendUpdates(vm, vm.fail(attemptId, 'reset-after-sending'));
 		}
 	}
 
-	tell(from: EngineDriver, effects: readonly CallEffect[]): void {
-		const update = updateOf(effects);
+	sendUpdates(from: EngineDriver, effects: readonly CallEffect[]): void {
+		const updates = updatesIn(effects);
 		for (const vm of this.vms) {
-			if (vm !== from && update.length > 0) {
-				vm.handle({type: 'peer-updates', updates: update});
+			if (vm !== from && updates.length > 0) {
+				vm.handle({type: 'peer-updates', updates: updates});
 			}
 		}
 	}
--- a/src/common/calls/crash-suspects.ts
+++ b/src/common/calls/crash-suspects.ts
@@ -1,66 +1,66 @@
-/** Finds the call that crashes whichever backend server runs it, and clears those that were beside it. */
+/** Identifies calls that crash every backend server that runs them, and quarantines them. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 
-/** Crashes remembered: enough for a bad day, bounded since callers make fingerprints. */
-const mostCrashes = 256;
+/** Maximum number of stored crashes and of quarantined fingerprints. Bounded, since callers determine the fingerprints. */
+const maxCrashes = 256;
 
-/** Suspects remembered of one crash: a backend server runs a handful of calls at once. */
-const mostSuspects = 64;
+/** Maximum number of suspects stored for one crash; a backend server runs only a few calls at once. */
+const maxSuspectsPerCrash = 64;
 
-/** Distinct crashes that accuse: one crash accuses all calls in flight alike. */
-const crashesToConvict = 2;
+/** Number of distinct crashes before a call is quarantined. After one crash, all calls in flight are equally suspect. */
+const crashesToQuarantine = 2;
 
-/** A process that is seen to be gone later than this after a reset may have been stopped for another reason. */
+/** Time after the first reset within which the end of the process confirms a crash. A later end may have another cause. */
 const confirmationMilliseconds: Milliseconds = 10_000;
 
 type Crash = {
 	readonly suspects: Set<string>;
-	/** The process is known to have died: two connections were reset, or it refuses connections, or a new one answers. */
+	/** True once the end of the process is certain: two connections were reset, it refuses connections, or a new process answers. */
 	isConfirmed: boolean;
 	readonly since: Instant;
 	readonly until: Instant;
 };
 
-/** A quarantined fingerprint. */
+/** A quarantined fingerprint, with the number of its crashes and the remaining time of the quarantine. */
 export type Quarantined = {readonly fingerprint: string; readonly crashes: number; readonly remainingMilliseconds: Milliseconds};
 
 /**
- * Suspicion and conviction. Guards against a call that crashes each backend server that runs it while
- * its caller sends it again through any VM: it shows as one reset connection at each VM, beside those of
- * innocent calls. A fingerprint is convicted only if it is the one that all of its crashes have in common
- * and has never come through: a popular innocent call is soon cleared by an answer, a rare one is not
- * beside the guilty one twice, since suspects are never retried beside one another.
+ * Suspects and quarantined calls. Protects backend servers from a call that crashes each of them and that its caller repeats
+ * through any VM. Each VM sees only one reset connection of that call, along with resets of harmless calls.
+ * A fingerprint is quarantined only if it is the only one common to all of its confirmed crashes and has never been answered.
+ * A frequent harmless call is soon cleared by an answer. A rare one is not in flight at two crashes of the harmful call,
+ * since a suspect is never placed on a backend server that runs another suspect.
  */
 export class CrashSuspects {
-	private readonly _memory: Milliseconds;
+	private readonly _retentionMilliseconds: Milliseconds;
 	private readonly _crashes = new Map<string, Crash>();
 	private readonly _crashesOf = new Map<string, Set<string>>();
 	private readonly _quarantined = new Map<string, {readonly crashes: number; readonly until: Instant}>();
 
-	constructor(memory: Milliseconds) {
-		this._memory = memory;
+	constructor(retentionMilliseconds: Milliseconds) {
+		this._retentionMilliseconds = retentionMilliseconds;
 	}
 
-	/** Identity of a crash that every VM gives the same: the process that died. */
+	/** Identity of a crash: that of the process that died, so that it is the same on every VM. */
 	static crashIdentity(server: string, instance: string | undefined): string {
 		return `${server}/${instance ?? ''}`;
 	}
 
-	/** Fingerprints under suspicion. */
+	/** Number of suspect fingerprints. */
 	get size(): number {
 		return this._crashesOf.size;
 	}
 
-	/** Takes in that these calls were in flight at a crash, seen here or by a peer; true = it was not known. */
+	/** Adds calls that were in flight at a crash detected by this VM or a peer. Returns true if any of them was new for this crash. */
 	accuse(crashIdentity: string, fingerprints: readonly string[], now: Instant): boolean {
-		const crash = this._crashOf(crashIdentity, now);
+		const crash = this._getOrCreateCrash(crashIdentity, now);
 		let isNew = false;
 		for (const fingerprint of fingerprints) {
-			if (crash.suspects.has(fingerprint) || crash.suspects.size >= mostSuspects) {
+			if (crash.suspects.has(fingerprint) || crash.suspects.size >= maxSuspectsPerCrash) {
 				continue;
 			}
 
-			// A second connection reset with the first: the process died, not the connection.
+			// A second reset shows that the process died, and not just one connection.
 			crash.isConfirmed ||= crash.suspects.size > 0;
 			crash.suspects.add(fingerprint);
 			const crashes = this._crashesOf.get(fingerprint) ?? new Set();
@@ -69,20 +69,20 @@
 			isNew = true;
 		}
 
-		this._judgeAll(crash, now);
+		this._checkSuspects(crash, now);
 		return isNew;
 	}
 
-	/** The process of this crash is gone for certain. */
+	/** Confirms that the process of this crash has ended. Ignored if the crash is unknown or too long ago. */
 	confirm(crashIdentity: string, now: Instant): void {
 		const crash = this._crashes.get(crashIdentity);
 		if (crash !== undefined && !crash.isConfirmed && now - crash.since <= confirmationMilliseconds) {
 			crash.isConfirmed = true;
-			this._judgeAll(crash, now);
+			this._checkSuspects(crash, now);
 		}
 	}
 
-	/** The call has come through: it does not kill. */
+	/** Removes a call from all suspects after it was answered, which proves that it does not crash its backend server. */
 	clear(fingerprint: string, now: Instant): void {
 		const crashes = this._crashesOf.get(fingerprint);
 		if (crashes === undefined) {
@@ -93,7 +93,7 @@
 		for (const identity of crashes) {
 			const crash = this._crashes.get(identity);
 			if (crash?.suspects.delete(fingerprint)) {
-				this._judgeAll(crash, now);
+				this._checkSuspects(crash, now);
 			}
 		}
 	}
@@ -116,7 +116,7 @@
 		return false;
 	}
 
-	/** An operator lets the call run again. */
+	/** Ends the quarantine of a call at the request of an operator. */
 	lift(fingerprint: string, now: Instant): void {
 		this._quarantined.delete(fingerprint);
 		this.clear(fingerprint, now);
@@ -127,53 +127,53 @@
 			.filter(entry => entry.remainingMilliseconds > 0);
 	}
 
-	private _judgeAll(crash: Crash, now: Instant): void {
+	private _checkSuspects(crash: Crash, now: Instant): void {
 		for (const fingerprint of crash.suspects) {
-			this._judge(fingerprint, now);
+			this._checkSuspect(fingerprint, now);
 		}
 	}
 
-	private _judge(fingerprint: string, now: Instant): void {
+	private _checkSuspect(fingerprint: string, now: Instant): void {
 		const crashes = Array.from(this._crashesOf.get(fingerprint) ?? [], identity => this._crashes.get(identity))
 			.filter(crash => crash?.isConfirmed === true && crash.until > now);
-		if (crashes.length < crashesToConvict || this._quarantined.has(fingerprint)) {
+		if (crashes.length < crashesToQuarantine || this._quarantined.has(fingerprint)) {
 			return;
 		}
 
-		const isOnlyOne = [...crashes[0]!.suspects].every(other => other === fingerprint || !crashes.every(crash => crash!.suspects.has(other)));
-		if (isOnlyOne) {
+		const isOnlyCommonSuspect = [...crashes[0]!.suspects].every(other => other === fingerprint || !crashes.every(crash => crash!.suspects.has(other)));
+		if (isOnlyCommonSuspect) {
 			this._quarantine(fingerprint, crashes.length, now);
 		}
 	}
 
 	private _quarantine(fingerprint: string, crashes: number, now: Instant): void {
-		if (this._quarantined.size >= mostCrashes) {
+		if (this._quarantined.size >= maxCrashes) {
 			this._quarantined.delete(this._quarantined.keys().next().value!);
 		}
 
-		this._quarantined.set(fingerprint, {crashes, until: now + this._memory});
+		this._quarantined.set(fingerprint, {crashes, until: now + this._retentionMilliseconds});
 	}
 
-	private _crashOf(identity: string, now: Instant): Crash {
+	private _getOrCreateCrash(identity: string, now: Instant): Crash {
 		const known = this._crashes.get(identity);
 		if (known !== undefined && known.until > now) {
 			return known;
 		}
 
-		this._forget(identity);
-		// The map keeps the order of insertion, so the first one is the oldest.
-		if (this._crashes.size >= mostCrashes) {
-			this._forget(this._crashes.keys().next().value!);
+		this._removeCrash(identity);
+		// The map keeps the order of insertion, so the first entry is the oldest.
+		if (this._crashes.size >= maxCrashes) {
+			this._removeCrash(this._crashes.keys().next().value!);
 		}
 
 		const crash: Crash = {
-			suspects: new Set(), isConfirmed: false, since: now, until: now + this._memory,
+			suspects: new Set(), isConfirmed: false, since: now, until: now + this._retentionMilliseconds,
 		};
 		this._crashes.set(identity, crash);
 		return crash;
 	}
 
-	private _forget(identity: string): void {
+	private _removeCrash(identity: string): void {
 		const crash = this._crashes.get(identity);
 		this._crashes.delete(identity);
 		for (const fingerprint of crash?.suspects ?? []) {
--- a/src/common/calls/engine-context.ts
+++ b/src/common/calls/engine-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of the engine share while they handle an event. */
+/** State that the parts of one engine share. */
 import {type Instant, type RandomSource} from '../model/units.ts';
 import {type BackendServerState} from './backend-server-state.ts';
 import {type Attempt, type Call} from './call.ts';
@@ -10,54 +10,53 @@
 import {type RateQuota} from './rate-quota.ts';
 import {type CallEffect, type FleetShares} from './types.ts';
 
-/** Settings of the engine that no resource declares. */
+/** Settings of the engine that are not part of the declared resources. */
 export type CallEngineSettings = {
-	/** This VM's data centre: calls stay in it while it can carry them. */
+	/** Data centre of this VM. Calls stay in it while its backend servers have capacity. */
 	readonly dataCentre: string;
 	/**
-	 * Statuses that callers read as "has not run and never will". A backend server's bare answer with one of them
-	 * proves nothing, so it is not passed on. Empty where callers are told the outcome in a header of its own.
+	 * Statuses that callers interpret as "has not run and never will". A backend server's answer with such a status does not
+	 * prove that, so it is not forwarded. Empty if callers read the outcome from its own header.
 	 */
 	readonly notRunStatuses?: ReadonlySet<number>;
 	/**
-	 * Second attempts of a service's calls that all VMs together may make at once beyond the service's share; undefined =
-	 * each VM saves up a few of its own.
+	 * Retries and hedges per service that all VMs together may start at once beyond the service's retry share; undefined =
+	 * every VM has the default token limit of `RetryBudget`.
 	 */
 	readonly retryBurst?: number | undefined;
 };
 
-/** Something that becomes due. */
+/** A timer of the engine. */
 export type Timer
 	= | {readonly type: 'deadline'; readonly call: Call}
-	/** Started later than this, a queued call would not be answered in time. */
+	/** Latest start of a queued call; an attempt that starts later would not be answered in time. */
 		| {readonly type: 'latest-start'; readonly call: Call}
 		| {readonly type: 'hedge'; readonly attempt: Attempt}
-	/** Reports that have not come by then are not waited for. */
+	/** End of the wait for load probes. */
 		| {readonly type: 'probing'; readonly call: Call; readonly probing: PendingProbes}
-	/** Backend servers may have room again, which no event of this VM would tell. */
+	/** Next check of the queue: backend servers may have regained capacity without an event on this VM. */
 		| {readonly type: 'queue-look'; readonly service: ServiceState}
-	/** A resumed download whose head has not come by then comes to nothing. */
+	/** Time limit for the head of a resumed download. */
 		| {readonly type: 'resume'; readonly attempt: Attempt};
 
-/** Shared by the parts of one engine. */
 export type EngineContext = {
 	readonly random: RandomSource;
 	readonly tuning: CallTuning;
 	readonly settings: CallEngineSettings;
 	readonly timers: TimerQueue<Timer>;
 	readonly suspects: CrashSuspects;
-	/** Services whose concurrency has become free in this event. */
+	/** Services whose queues must be drained after this event, since concurrency or servers changed. */
 	readonly freed: Set<ServiceState>;
-	/** Records of processes that another one has replaced in this event; their attempts are still open. */
+	/** Records of processes that were replaced by a new one in this event; their attempts are still open. */
 	readonly replaced: BackendServerState[];
 	readonly rateQuota: RateQuota;
 	shares: FleetShares | undefined;
-	/** Nothing is placed now: what is known may be as old as a pause. */
+	/** True while no attempt may start, since the state may be outdated after a pause of the VM. */
 	isPlacingHeld: boolean;
 	effects: CallEffect[];
 };
 
-/** Whether a timer still means something. */
+/** Whether a timer still applies to its call, attempt or service. */
 export function isTimerLive(timer: Timer): boolean {
 	switch (timer.type) {
 		case 'deadline': {
@@ -83,12 +82,12 @@
 	}
 }
 
-/** VMs believed to serve. */
+/** Estimated number of VMs that serve calls; at least 1. */
 export function vmCountOf(context: EngineContext): number {
 	return Math.max(1, context.shares?.vmCount ?? 1);
 }
 
-/** An instant on the way: when a peer's update was made, by its age. */
+/** Time at which something of this age was made; a negative age counts as 0. */
 export function instantBefore(now: Instant, age: number): Instant {
 	return now - Math.max(0, age);
 }
--- a/src/common/calls/engine-driver.test.ts
+++ b/src/common/calls/engine-driver.test.ts
@@ -129,6 +129,6 @@
 }
 
 /** Answers measuring calls by what is known of each backend server; the effects that follow. */
-export function answerMeasures(driver: EngineDriver, measures: readonly Measure[], reportFor: (identity: string) => LoadReport | undefined): CallEffect[] {
-	return measures.flatMap(({measurementId, identity}) => [...driver.handle({type: 'measured', measurementId, report: reportFor(identity)})]);
+export function answerMeasures(driver: EngineDriver, loadProbes: readonly Measure[], reportFor: (identity: string) => LoadReport | undefined): CallEffect[] {
+	return loadProbes.flatMap(({measurementId, identity}) => [...driver.handle({type: 'measured', measurementId, report: reportFor(identity)})]);
 }
--- a/src/common/calls/health-chart.ts
+++ b/src/common/calls/health-chart.ts
@@ -1,30 +1,29 @@
 /**
- * The life of a backend server as this VM sees it. The chart is a file; here it becomes a table, since a
- * step of xstate's pure transition costs more than placing a call does.
+ * State machine for the health of a backend server. The state chart is a JSON file; it is converted to a table, since
+ * one call of xstate's pure `transition` costs more than placing a call.
  */
 import chart from '../../../charts/backend-server-health.json' with {type: 'json'};
 
-/** States of the chart. */
 export type Health = keyof typeof chart.states;
 
-/** What moves a backend server from one state to another. */
+/** Events that change the health of a backend server. */
 export type HealthEvent
-	/** It has had its time to warm up. */
+	/** Its warm-up time has passed. */
 	= | 'WARM'
-	/** An attempt got no sign of life, and neither did any other since. */
+	/** An attempt got no response, and no other attempt has got one since. */
 		| 'SILENT'
-	/** It has answered an attempt. */
+	/** It answered an attempt or a load probe. */
 		| 'ANSWERED'
-	/** It failed the call that was to tell whether it works. */
+	/** It failed a call while in state `doubted` or `probing`. */
 		| 'FAILING'
-	/** Its time out is over: one call may try it. */
+	/** Its ejection time has passed: one trial call may be sent to it. */
 		| 'PROBE'
-	/** It, a peer or an operator says that it leaves. */
+	/** A report of its own, a peer or an operator signals that it is leaving. */
 		| 'LEAVE'
-	/** A new process answers under its address, or an operator has taken its leaving back. */
+	/** A new process answers at its address, or an operator withdrew its leaving. */
 		| 'RETURN';
 
-/** State of a backend server that nothing is known of. */
+/** State of a backend server without any answer or report. */
 export const initialHealth: Health = chartState(chart.initial);
 
 const table = new Map<Health, ReadonlyMap<string, Health>>(Object.entries(chart.states).map(([state, {on}]) => [
@@ -32,7 +31,7 @@
 	new Map(Object.entries(on).map(([event, target]) => [event, chartState(target)])),
 ]));
 
-/** The next state; an event that a state does not name leaves it as it is. */
+/** Returns the next state. An event that the state does not handle leaves it unchanged. */
 export function nextHealth(state: Health, event: HealthEvent): Health {
 	return table.get(state)?.get(event) ?? state;
 }
--- a/src/common/calls/health-judge.ts
+++ b/src/common/calls/health-judge.ts
@@ -1,4 +1,4 @@
-/** Says who is at fault when an attempt fails: the backend server, the connection, or the call. */
+/** Outlier detection: attributes failures to the backend server, the connection or the call, and ejects backend servers. */
 import {type Instant} from '../model/units.ts';
 import {type BackendServerState} from './backend-server-state.ts';
 import {type Attempt, type Call} from './call.ts';
@@ -6,10 +6,9 @@
 import {type EngineContext} from './engine-context.ts';
 import {type AttemptFailure} from './types.ts';
 
-/** An attempt given up before this many mean answer times says nothing of silence. */
-const silentFactor = 10;
+/** An attempt cancelled before this many mean answer times does not count as silent. */
+const silenceFactor = 10;
 
-/** Judges failures. */
 export class HealthJudge {
 	private readonly _context: EngineContext;
 
@@ -21,14 +20,14 @@
 		switch (failure) {
 			case 'connection-refused': {
 				this._context.suspects.confirm(CrashSuspects.crashIdentity(attempt.server.identity, attempt.instance), now);
-				this._fail(attempt, now);
+				this._recordFailure(attempt, now);
 				break;
 			}
 
 			case 'reset-after-sending':
 			case 'reset-during-answer': {
-				this._accuse(attempt, now);
-				this._fail(attempt, now);
+				this._reportCrashSuspect(attempt, now);
+				this._recordFailure(attempt, now);
 				break;
 			}
 
@@ -38,7 +37,7 @@
 			}
 
 			case 'wrong-answer': {
-				this._fail(attempt, now);
+				this._recordFailure(attempt, now);
 				break;
 			}
 
@@ -49,10 +48,10 @@
 	}
 
 	onServerError(attempt: Attempt, now: Instant): void {
-		this._fail(attempt, now);
+		this._recordFailure(attempt, now);
 	}
 
-	/** Attempts that lost against another one may have been silent. */
+	/** Checks the attempts that are about to be cancelled in favour of the winner: each of them may have been silent. */
 	beforeCancel(call: Call, winner: Attempt, now: Instant): void {
 		for (const attempt of call.attempts) {
 			if (attempt !== winner) {
@@ -61,7 +60,7 @@
 		}
 	}
 
-	/** An attempt is given up without an answer: at its deadline, or because another one was faster. */
+	/** Handles an attempt that is cancelled without an answer, at its deadline or because another one was faster. */
 	onGivenUp(attempt: Attempt, now: Instant): void {
 		const waited = now - attempt.startedAt;
 		if (!attempt.isSent || attempt.hasHead) {
@@ -69,15 +68,15 @@
 		}
 
 		attempt.server.onGivenUp(waited, attempt.call.class.answerMean, now);
-		if (waited > silentFactor * attempt.call.class.answerMean) {
+		if (waited > silenceFactor * attempt.call.class.answerMean) {
 			this._onSilence(attempt, now);
 		}
 	}
 
 	/**
-	 * A connection can go silent for good while the backend server works. If that has answered anything
-	 * since, the connection was at fault. Else one call on a fresh connection tells; only if that is
-	 * silent too is the backend server taken out.
+	 * A connection can become silent for good while its backend server still works. If the backend server has answered an
+	 * attempt since, the connection is at fault. Otherwise one call on a new connection decides: only if that call is
+	 * silent too is the backend server ejected.
 	 */
 	private _onSilence(attempt: Attempt, now: Instant): void {
 		const {server} = attempt;
@@ -96,29 +95,29 @@
 		server.eject('SILENT', now);
 	}
 
-	private _fail(attempt: Attempt, now: Instant): void {
+	private _recordFailure(attempt: Attempt, now: Instant): void {
 		const {server} = attempt;
 		server.onFailure(now);
-		// Failures alone eject nobody: they make a backend server look long, which keeps calls away by
-		// degrees and, when all fail, from none more than from another.
+		// Failures alone do not eject a backend server. They raise its expected answer time, which moves calls away gradually
+		// and leaves the placement even when all backend servers fail.
 		if (server.health === 'probing' || server.health === 'doubted') {
 			server.eject('FAILING', now);
 		}
 	}
 
 	/**
-	 * Bounded: the rest has to carry what is taken from the ejected ones, and when most calls of a service
-	 * fail, the cause is common and moving calls about would only concentrate it.
+	 * Limits the number of ejected backend servers, since the remaining ones must take over their calls. When most calls of a
+	 * service fail, the cause is common, and an ejection would only concentrate the calls on fewer backend servers.
 	 */
 	private _mayEject(server: BackendServerState, attempt: Attempt): boolean {
 		const service = attempt.call.serviceState;
 		const others = service.servers.filter(one => one !== server && one.takesNewAttempts);
-		const out = others.filter(one => one.health === 'ejected' || one.health === 'probing').length;
-		const most = Math.max(1, Math.floor(this._context.tuning.ejectablePart * (others.length + 1)));
-		return others.length > 0 && out < most && service.failing < this._context.tuning.commonFailurePart;
+		const outCount = others.filter(one => one.health === 'ejected' || one.health === 'probing').length;
+		const maxOut = Math.max(1, Math.floor(this._context.tuning.ejectablePart * (others.length + 1)));
+		return others.length > 0 && outCount < maxOut && service.failing < this._context.tuning.commonFailurePart;
 	}
 
-	private _accuse(attempt: Attempt, now: Instant): void {
+	private _reportCrashSuspect(attempt: Attempt, now: Instant): void {
 		const crash = CrashSuspects.crashIdentity(attempt.server.identity, attempt.instance);
 		const {fingerprint} = attempt.call.request;
 		if (this._context.suspects.accuse(crash, [fingerprint], now)) {
--- a/src/common/calls/process-history.ts
+++ b/src/common/calls/process-history.ts
@@ -1,57 +1,57 @@
-/** Which process of a backend server a word is about: the present one, one that has gone, or one not met yet. */
+/** Determines whether a report or leaving sign concerns the current process of a backend server, a gone one or a new one. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 
-/** Processes that are gone; a late answer or sign of one must not count as a change. */
-const rememberedProcesses = 4;
+/** Number of gone processes that are remembered, so that a late answer or leaving sign of one does not count as a change. */
+const maxGoneInstances = 4;
 
-/** How late the words of a process that has gone may come in: longer than any way through the fleet. */
-const lateWordMilliseconds: Milliseconds = 1000;
+/** Maximum delay of a gone process's last reports; longer than an update takes through the fleet. */
+const maxReportDelayMilliseconds: Milliseconds = 1000;
 
-/** What a report says about processes. */
+/** What a report reveals about the process of a backend server. */
 export type ProcessChange = 'of-past' | 'present' | 'replaced' | 'returned';
 
 /**
- * Guards two ways of leaving. A sign about a process that this VM has not met binds: taken for an old
- * one, the leaving process would get work for as long as it lives. A sign about a process that is
- * known to have gone binds nothing: a returned backend server would never get work again.
+ * Decides which leaving signs apply. A sign for a process that this VM has not seen yet applies: if it were taken for an old
+ * process, the leaving one would get calls until it ends. A sign for a process that is known to be gone is ignored:
+ * otherwise a backend server that returned would never get calls again.
  */
 export class ProcessHistory {
-	private readonly _past: string[] = [];
-	private _present: string | undefined;
-	private _leaving: string | undefined;
+	private readonly _goneInstances: string[] = [];
+	private _currentInstance: string | undefined;
+	private _leavingInstance: string | undefined;
 	private _leavingSince: Instant | undefined;
 
-	/** The process that answers now. */
+	/** Instance of the process that answered last; undefined before any report with an instance. */
 	get present(): string | undefined {
-		return this._present;
+		return this._currentInstance;
 	}
 
-	/** True if the sign binds the backend server as it is now. */
+	/** Applies a leaving sign. Returns false if it concerns a gone process and is ignored; `instance` undefined = the current process. */
 	takeSign(instance: string | undefined, now: Instant): boolean {
-		if (instance !== undefined && this._past.includes(instance)) {
+		if (instance !== undefined && this._goneInstances.includes(instance)) {
 			return false;
 		}
 
-		this._leaving = instance ?? this._present;
+		this._leavingInstance = instance ?? this._currentInstance;
 		this._leavingSince = now;
 		return true;
 	}
 
-	/** Sorts a report by the process that made it. */
+	/** Classifies a report by the process that made it. */
 	takeReport(instance: string | undefined, madeAt: Instant): ProcessChange {
-		if (instance !== undefined && this._past.includes(instance)) {
+		if (instance !== undefined && this._goneInstances.includes(instance)) {
 			return 'of-past';
 		}
 
-		const former = this._present;
-		if (instance === undefined || former === undefined || instance === former) {
-			this._present = instance ?? former;
-			return this._hasOutlivedSign(instance, madeAt) ? 'returned' : 'present';
+		const previous = this._currentInstance;
+		if (instance === undefined || previous === undefined || instance === previous) {
+			this._currentInstance = instance ?? previous;
+			return this._hasReplacedLeavingInstance(instance, madeAt) ? 'returned' : 'present';
 		}
 
-		this._remember(former);
-		this._present = instance;
-		if (instance === this._leaving) {
+		this._addGoneInstance(previous);
+		this._currentInstance = instance;
+		if (instance === this._leavingInstance) {
 			return 'present';
 		}
 
@@ -60,25 +60,25 @@
 	}
 
 	/**
-	 * Another process answers than the one that the sign named. It may be that one's forerunner, whose last
-	 * words come late; only an answer well after the sign shows that it is there now.
+	 * Whether a process other than the leaving one has taken its place. The report may also be a late one of the leaving
+	 * process's predecessor, so it counts only if it was made well after the leaving sign.
 	 */
-	private _hasOutlivedSign(instance: string | undefined, madeAt: Instant): boolean {
-		if (this._leavingSince === undefined || this._leaving === undefined || instance === undefined || instance === this._leaving) {
+	private _hasReplacedLeavingInstance(instance: string | undefined, madeAt: Instant): boolean {
+		if (this._leavingSince === undefined || this._leavingInstance === undefined || instance === undefined || instance === this._leavingInstance) {
 			return false;
 		}
 
-		if (madeAt < this._leavingSince + lateWordMilliseconds) {
+		if (madeAt < this._leavingSince + maxReportDelayMilliseconds) {
 			return false;
 		}
 
-		this._remember(this._leaving);
+		this._addGoneInstance(this._leavingInstance);
 		this._leavingSince = undefined;
 		return true;
 	}
 
-	private _remember(instance: string): void {
-		this._past.push(instance);
-		this._past.splice(0, this._past.length - rememberedProcesses);
+	private _addGoneInstance(instance: string): void {
+		this._goneInstances.push(instance);
+		this._goneInstances.splice(0, this._goneInstances.length - maxGoneInstances);
 	}
 }
--- a/src/common/calls/process-restart.test.ts
+++ b/src/common/calls/process-restart.test.ts
@@ -5,7 +5,7 @@
 import {type CallConfiguration} from './types.ts';
 
 /** One backend server, whose process started at this time. */
-function startedAt(processStartedAt: number, version: number, changes: {readonly isLeaving?: boolean} = {}): CallConfiguration {
+function configurationStartedAt(processStartedAt: number, version: number, changes: {readonly isLeaving?: boolean} = {}): CallConfiguration {
 	const configuration = configurationOf(1);
 	return {
 		...configuration,
@@ -17,11 +17,11 @@
 describe('a process that starts again under its identity', () => {
 	// Guards a restarted backend server against the reports and the leaving of the process before.
 	it('is judged by nothing that was known of the one before', () => {
-		const driver = new EngineDriver(startedAt(1000, 1));
+		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		const first = driver.start(requestOf(1))!;
 		driver.answer(first.attemptId, reportOf('identity-0', {inFlight: 6, queued: 9, isLeaving: true}));
 		const whileLeaving = driver.start(requestOf(2));
-		driver.handle({type: 'configured', configuration: startedAt(2000, 2)});
+		driver.handle({type: 'configured', configuration: configurationStartedAt(2000, 2)});
 		expect([whileLeaving, driver.engine.status(driver.now).backendServers.map(({state, reportedInFlight}) => `${state} ${reportedInFlight}`)])
 			.toEqual([undefined, ['warming undefined']]);
 		expect(driver.start(requestOf(3))?.processStartedAt).toEqual(2000);
@@ -29,39 +29,39 @@
 
 	// Guards a restarted backend server against an older declaration that arrives later.
 	it('stays when an older word of its predecessor comes', () => {
-		const driver = new EngineDriver(startedAt(2000, 1));
+		const driver = new EngineDriver(configurationStartedAt(2000, 1));
 		const first = driver.start(requestOf(1))!;
 		driver.answer(first.attemptId, reportOf('identity-0', {inFlight: 2}));
-		driver.handle({type: 'configured', configuration: startedAt(2000, 2)});
+		driver.handle({type: 'configured', configuration: configurationStartedAt(2000, 2)});
 		expect(driver.engine.status(driver.now).backendServers[0]?.reportedInFlight).toEqual(2);
 	});
 
 	// Guards a non-idempotent call at a process that is gone against a second run and a false promise of not run.
 	it('leaves an order of the old one open, which may have run', () => {
-		const driver = new EngineDriver(startedAt(1000, 1));
+		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		const order = driver.start(requestOf(1))!;
 		driver.sent(order.attemptId);
-		const effects = driver.handle({type: 'configured', configuration: startedAt(2000, 2)});
+		const effects = driver.handle({type: 'configured', configuration: configurationStartedAt(2000, 2)});
 		expect([effects.length, driver.fail(order.attemptId, 'reset-after-sending').map(({type}) => type)]).toEqual([0, ['tell-peers', 'refuse', 'call-ended']]);
 	});
 
 	// Guards an idempotent call against waiting for a process that is gone.
 	it('has reads of the old one tried again at once', () => {
-		const driver = new EngineDriver(startedAt(1000, 1));
+		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		for (let call = 10; call < 80; call++) {
 			driver.answer(driver.start(requestOf(call, {method: 'GET', bodyBytes: 0}))!.attemptId);
 		}
 
 		const read = driver.start(requestOf(1, {method: 'GET', bodyBytes: 0}))!;
 		driver.sent(read.attemptId);
-		const effects = driver.handle({type: 'configured', configuration: startedAt(2000, 2)});
+		const effects = driver.handle({type: 'configured', configuration: configurationStartedAt(2000, 2)});
 		expect(effects.map(effect => effect.type === 'start-attempt' ? [effect.callId, effect.processStartedAt] : effect.type)).toEqual([[1, 2000]]);
 	});
 
 	it('says nothing by a late answer of the old one', () => {
-		const driver = new EngineDriver(startedAt(1000, 1));
+		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		const order = driver.start(requestOf(1))!;
-		driver.handle({type: 'configured', configuration: startedAt(2000, 2)});
+		driver.handle({type: 'configured', configuration: configurationStartedAt(2000, 2)});
 		driver.answer(order.attemptId, reportOf('identity-0', {inFlight: 6, queued: 9}));
 		expect(driver.engine.status(driver.now).backendServers[0]?.reportedInFlight).toEqual(undefined);
 	});
--- a/src/common/calls/retry-budget.ts
+++ b/src/common/calls/retry-budget.ts
@@ -1,41 +1,41 @@
-/** How many second attempts a service may make. */
+/** Token bucket that limits the retries and hedges of a service. */
 
-/** Tokens at the start, so that the first failure after a start can be retried. */
-const startTokens = 1;
+/** Tokens at the start, so that the first failure can be retried. */
+const initialTokens = 1;
 
-/** Most tokens kept where the fleet has no burst to share: a quiet hour must not save up a storm of retries for the next fault. */
-const usualMostTokens = 10;
+/** Maximum number of tokens if no burst is set for the fleet: an hour without failures must not allow a storm of retries at the next fault. */
+const defaultMaxTokens = 10;
 
-/** Part of the fleet's burst that is shared out: VMs that come and go disagree on their number for seconds. */
-const sharedPart = 0.8;
+/** Fraction of the fleet's burst that is divided among the VMs. The rest is a margin: while VMs join or leave, their counts of VMs differ for seconds. */
+const burstFraction = 0.8;
 
 /**
- * Retries and hedges as a share of own calls. Made for the fault in which all backend servers fail at
- * once: without it every call would come twice and keep them down. Each VM counts only its own calls,
- * so over any number of VMs the sum stays within the share and what each has saved up. That is an even part of the burst
- * which the operators allow the fleet: at ten tokens each, 116 VMs would answer a fault with 1160 retries at once.
+ * Limits retries and hedges to a share of the VM's own calls. If all backend servers fail at once, unlimited retries would
+ * send every call twice and keep the backend servers overloaded. Since each VM counts only its own calls, the total of all
+ * VMs stays within the share plus their saved tokens. The saved tokens of a VM are limited to an equal part of the burst that
+ * the operators allow the fleet: with ten tokens each, 116 VMs would start 1160 retries at once after a fault.
  */
 export class RetryBudget {
-	private _tokens = startTokens;
-	private _mostTokens = usualMostTokens;
+	private _tokens = initialTokens;
+	private _maxTokens = defaultMaxTokens;
 
-	/** `burst` = second attempts that all VMs together may make beyond their share; each keeps at least one token. */
+	/** Sets the token limit to this VM's part of `burst`, the retries and hedges that all VMs may start at once beyond their share; at least one token. */
 	shareBurst(burst: number, vmCount: number): void {
-		this._mostTokens = Math.max(startTokens, sharedPart * burst / Math.max(1, vmCount));
-		this._tokens = Math.min(this._mostTokens, this._tokens);
+		this._maxTokens = Math.max(initialTokens, burstFraction * burst / Math.max(1, vmCount));
+		this._tokens = Math.min(this._maxTokens, this._tokens);
 	}
 
-	/** Called once for each call that is admitted. */
+	/** Adds `share` tokens. Called once for each admitted call. */
 	deposit(share: number): void {
-		this._tokens = Math.min(this._mostTokens, this._tokens + share);
+		this._tokens = Math.min(this._maxTokens, this._tokens + share);
 	}
 
-	/** True while a second attempt is allowed. */
+	/** True while a retry or hedge is allowed. */
 	get isOpen(): boolean {
 		return this._tokens >= 1;
 	}
 
-	/** Takes a token; false = the budget is spent. */
+	/** Takes a token; returns false if the budget is used up. */
 	tryTake(): boolean {
 		if (this._tokens < 1) {
 			return false;
--- a/src/common/calls/retrying-callers.test.ts
+++ b/src/common/calls/retrying-callers.test.ts
@@ -6,7 +6,7 @@
 	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, mostAttempts: 3, priority: 0,
 };
 
-function afterUsual(times: readonly number[]): RetryingCallers {
+function callersAfter(times: readonly number[]): RetryingCallers {
 	const callers = new RetryingCallers();
 	for (const time of times) {
 		callers.spentOf(time, rule);
@@ -17,26 +17,26 @@
 
 describe('callers that come back', () => {
 	it('have spent what is missing of the usual time', () => {
-		expect(afterUsual([1190, 1178, 1191, 1179, 1190]).spentOf(700, rule)).toEqual(490);
+		expect(callersAfter([1190, 1178, 1191, 1179, 1190]).spentOf(700, rule)).toEqual(490);
 	});
 
 	it('are not told from others before some have come', () => {
-		expect(afterUsual([1190, 1190]).spentOf(700, rule)).toEqual(0);
+		expect(callersAfter([1190, 1190]).spentOf(700, rule)).toEqual(0);
 	});
 
 	// Guards fresh callers against a few with long deadlines, by which all others would look like retrying callers.
 	it('are not measured against a few callers that wait far longer', () => {
-		const callers = afterUsual([2992, 1190, 1178, 2993, 1191, 1179, 1190, 2992, 1178, 1178, 1190]);
+		const callers = callersAfter([2992, 1190, 1178, 2993, 1191, 1179, 1190, 2992, 1178, 1178, 1190]);
 		expect([callers.spentOf(1178, rule), callers.spentOf(993, rule), callers.spentOf(2992, rule)]).toEqual([0, 0, 0]);
 	});
 
 	// Guards the usual deadline against a burst in which most callers are retrying.
 	it('are told from fresh ones also when they are more than half', () => {
-		const callers = afterUsual([1190, 700, 650, 1190, 720, 690, 1178, 640, 1190, 700, 1190]);
+		const callers = callersAfter([1190, 700, 650, 1190, 720, 690, 1178, 640, 1190, 700, 1190]);
 		expect(callers.spentOf(700, rule) > 0).toEqual(true);
 	});
 
 	it('are compared with callers of the same rule only', () => {
-		expect(afterUsual([1190, 1190, 1190, 1190, 1190]).spentOf(700, {...rule, objectiveMilliseconds: 200})).toEqual(0);
+		expect(callersAfter([1190, 1190, 1190, 1190, 1190]).spentOf(700, {...rule, objectiveMilliseconds: 200})).toEqual(0);
 	});
 });
--- a/src/common/calls/retrying-callers.ts
+++ b/src/common/calls/retrying-callers.ts
@@ -1,55 +1,56 @@
-/** Tells callers that come back from fresh ones by the time that they will still wait. */
+/** Detects retrying callers by their remaining timeout, which is shorter than that of callers on their first try. */
 import {type Milliseconds} from '../model/units.ts';
 import {type CallRule} from './types.ts';
 
-/** Latest times that are kept for each rule. */
-const sampleCount = 31;
+/** Number of latest timeouts that are kept for each rule. */
+const maxSamples = 31;
 
-/** With fewer, nothing is said: the first one may be a caller that comes back. */
-const leastSamples = 5;
+/** Minimum number of timeouts for a decision, since the first one may belong to a retrying caller. */
+const minSamples = 5;
 
-/** The usual time is that which this part of the latest callers do not exceed: a few wait far longer, and in a rush half come back. */
-const usualPart = 0.7;
+/** The usual timeout is this quantile of the latest ones. A few callers have far longer timeouts, and in a rush half of them are retrying. */
+const usualTimeoutQuantile = 0.7;
 
 /**
- * A caller that has less than this part of the usual time left has spent some. Callers are not all alike: one in seven
- * waits a sixth less than the others; one that was refused has lost at least the time that it was told to wait.
+ * A caller with less than this fraction of the usual timeout counts as retrying. Timeouts of first tries differ too: one
+ * caller in seven has a sixth less than the others. A refused caller has lost at least the retry delay.
  */
-const returningPart = 0.8;
+const retryingFraction = 0.8;
 
-/** Rules whose callers are remembered. */
-const mostRules = 64;
+/** Maximum number of rules with stored timeouts. */
+const maxRules = 64;
 
 /**
- * Guards in-time answers in a rush. A caller that was refused and comes back says how long it will still wait, and not
- * since when it has waited. Taken for a fresh one it gets a place in which a fresh one would be answered within its
- * objective, and it is not: in a model of 1.3 times the load 4 of 1600 such calls were in time.
+ * Estimates the time that a retrying caller has already spent, so that its call can still meet its objective in a rush. The
+ * caller sends its remaining timeout, but not the time that has passed. If it were treated as a first try, it would get a
+ * backend server that answers within a full objective, which is too late: in a model with 1.3 times the load, 4 of 1600
+ * such calls were answered in time.
  */
 export class RetryingCallers {
 	private readonly _samples = new Map<string, Milliseconds[]>();
 
-	/** Milliseconds that a caller with this time left has spent before, as far as can be told. */
+	/** Estimated milliseconds that a caller with this remaining timeout has spent on earlier tries; 0 if it does not look like a retry. */
 	spentOf(timeout: Milliseconds | undefined, rule: CallRule | undefined): Milliseconds {
 		if (timeout === undefined || rule === undefined) {
 			return 0;
 		}
 
-		const usual = this._usual(timeout, `${rule.isIdempotent} ${rule.objectiveMilliseconds} ${rule.timeoutMilliseconds}`);
-		return usual === undefined || timeout >= returningPart * usual ? 0 : usual - timeout;
+		const usualTimeout = this._usualTimeout(timeout, `${rule.isIdempotent} ${rule.objectiveMilliseconds} ${rule.timeoutMilliseconds}`);
+		return usualTimeout === undefined || timeout >= retryingFraction * usualTimeout ? 0 : usualTimeout - timeout;
 	}
 
-	private _usual(timeout: Milliseconds, key: string): Milliseconds | undefined {
-		if (this._samples.size > mostRules) {
+	private _usualTimeout(timeout: Milliseconds, key: string): Milliseconds | undefined {
+		if (this._samples.size > maxRules) {
 			this._samples.clear();
 		}
 
 		const samples = this._samples.get(key) ?? [];
 		this._samples.set(key, samples);
 		samples.push(timeout);
-		if (samples.length > sampleCount) {
+		if (samples.length > maxSamples) {
 			samples.shift();
 		}
 
-		return samples.length < leastSamples ? undefined : samples.toSorted((one, other) => one - other)[Math.floor(usualPart * (samples.length - 1))];
+		return samples.length < minSamples ? undefined : samples.toSorted((one, other) => one - other)[Math.floor(usualTimeoutQuantile * (samples.length - 1))];
 	}
 }
--- a/src/common/calls/service-directory.ts
+++ b/src/common/calls/service-directory.ts
@@ -1,4 +1,4 @@
-/** The services and backend servers in force, and what is learnt of them besides calls. */
+/** The declared services and backend servers, the load reports about them, and the scheduling of load probes. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {BackendServerState} from './backend-server-state.ts';
 import {CrashSuspects} from './crash-suspects.ts';
@@ -11,40 +11,40 @@
 	type BackendServerIdentity, type BackendServerInForce, type BackendServerStatus, type CallConfiguration, type FleetShares, type LoadUpdate, type LoadReport, type MeasurementId, type RateLimitNotice,
 } from './types.ts';
 
-/** Without a share, or with a fresh report, a backend server is looked at again after this time at most. */
-const longestLook = 1000;
+/** Check interval of a backend server for which no load probe can be scheduled: the VM holds no share of the budget, or the service is unknown. */
+const checkIntervalMilliseconds = 1000;
 
 /**
- * Longest that a measuring call on demand may be under way. No call waits for it so long; ending it ends its
- * connection, which a VM that was busy for a moment would otherwise open anew.
+ * Timeout of an on-demand load probe, longer than any call waits for one. A timeout closes the probe's connection, so with
+ * a shorter one a VM that was busy for a moment would have to open its connections again.
  */
-const demandTimeout: Milliseconds = 250;
+const onDemandProbeTimeoutMilliseconds: Milliseconds = 250;
 
-/** A service without a call for this long is idle here: longer than the gaps between a portal's polls. */
-const idleAfter = 5000;
+/** A service without a call for this long is idle on this VM. The time is longer than the interval at which a portal polls. */
+const idleAfterMilliseconds = 5000;
 
-/** Knows services and backend servers. */
+/** Holds the state of all services and backend servers of the VM. */
 export class ServiceDirectory {
 	private readonly _context: EngineContext;
 	private readonly _services = new Map<string, ServiceState>();
 	private readonly _servers = new Map<BackendServerIdentity, BackendServerState>();
-	private readonly _measurements = new Map<MeasurementId, BackendServerState>();
-	private readonly _looks = new TimerQueue<BackendServerState>();
+	private readonly _pendingLoadProbes = new Map<MeasurementId, BackendServerState>();
+	private readonly _loadProbeChecks = new TimerQueue<BackendServerState>();
 	private _version: number | undefined;
-	private _nextMeasurementId = 1;
+	private _nextLoadProbeId = 1;
 
 	constructor(context: EngineContext) {
 		this._context = context;
 	}
 
-	/** Configuration version in force; undefined before the first. */
+	/** Version of the configuration in force; undefined before the first one. */
 	get version(): number | undefined {
 		return this._version;
 	}
 
-	/** When a backend server has to be looked at, for measuring. */
+	/** Earliest time at which a backend server must be checked for a due load probe; undefined = none is scheduled. */
 	get nextLook(): Instant | undefined {
-		return this._looks.earliest;
+		return this._loadProbeChecks.earliest;
 	}
 
 	service(name: string): ServiceState | undefined {
@@ -56,7 +56,7 @@
 	}
 
 	configure(configuration: CallConfiguration, now: Instant): void {
-		// An older version never replaces a newer one, whoever brings it.
+		// An older version never replaces a newer one, whatever its source.
 		if (this._version !== undefined && configuration.version < this._version) {
 			return;
 		}
@@ -69,11 +69,11 @@
 		for (const [name, declared] of configuration.services) {
 			const service = this._services.get(name) ?? new ServiceState(declared, this._context.tuning);
 			service.redeclare(declared);
-			// A rule that was deleted is no longer in force.
+			// A deleted rule no longer applies.
 			service.sharing = rules.get(name) ?? defaultSharing;
 			service.warmUp = configuration.warmUpLimits?.get(name);
 			service.setServers(servers.get(name) ?? [], vmCountOf(this._context));
-			this._shareRetries(service);
+			this._setRetryBurstShare(service);
 			this._services.set(name, service);
 			if (!service.hasUsableServer) {
 				this._context.freed.add(service);
@@ -95,7 +95,7 @@
 		this._context.shares = shares;
 		for (const service of this._services.values()) {
 			service.setVmCount(vmCountOf(this._context));
-			this._shareRetries(service);
+			this._setRetryBurstShare(service);
 		}
 	}
 
@@ -103,11 +103,11 @@
 		this._servers.get(identity)?.takeLeaving(instance, now);
 	}
 
-	takeUpdates(updateList: readonly LoadUpdate[], now: Instant): void {
-		for (const update of updateList) {
+	takeUpdates(updates: readonly LoadUpdate[], now: Instant): void {
+		for (const update of updates) {
 			const server = this._servers.get(update.identity);
 			if (server !== undefined && update.report !== undefined) {
-				this._takeReport(server, update.report, now - Math.max(0, update.ageMilliseconds), now);
+				this._applyReport(server, update.report, now - Math.max(0, update.ageMilliseconds), now);
 			}
 
 			if (update.crash !== undefined) {
@@ -116,24 +116,24 @@
 		}
 	}
 
-	/** Takes a report that came with an answer. */
+	/** Applies a load report that arrived with an answer. */
 	takeAnswerReport(server: BackendServerState, report: LoadReport, now: Instant): void {
-		this._takeReport(server, report, now, now);
+		this._applyReport(server, report, now, now);
 		const others = server.reportedOthers;
 		if (others !== undefined) {
 			this._services.get(server.declared.service)?.noteOthers(others);
 		}
 	}
 
-	/** Takes what the answer to an attempt says of a rate limit. */
+	/** Applies the rate limit in the answer to an attempt, or its absence. */
 	takeAnswerLimit(server: BackendServerState, rateLimit: RateLimitNotice | undefined, startedAt: Instant, now: Instant): void {
-		this._tellLimitChange(server, server.rateLimit.noteAnswer(rateLimit, startedAt, now), 'answer', rateLimit);
+		this._notifyRateLimitChange(server, server.rateLimit.noteAnswer(rateLimit, startedAt, now), 'answer', rateLimit);
 	}
 
-	/** Takes the end of a measuring call in; the backend server that it went to, if it is still known. */
+	/** Handles the result of a load probe (`report` undefined = no answer). Returns the probed backend server; undefined for an unknown id. */
 	takeMeasurement(measurementId: MeasurementId, report: LoadReport | undefined, now: Instant): BackendServerState | undefined {
-		const server = this._measurements.get(measurementId);
-		this._measurements.delete(measurementId);
+		const server = this._pendingLoadProbes.get(measurementId);
+		this._pendingLoadProbes.delete(measurementId);
 		if (server === undefined) {
 			return undefined;
 		}
@@ -145,7 +145,7 @@
 
 		server.unansweredMeasurings = 0;
 		this.takeAnswerReport(server, report, now);
-		this._tellLimitChange(server, server.rateLimit.noteProbe(report.rateLimit, now), 'load-probe', report.rateLimit);
+		this._notifyRateLimitChange(server, server.rateLimit.noteProbe(report.rateLimit, now), 'load-probe', report.rateLimit);
 		if (server.health === 'doubted') {
 			server.move('ANSWERED', now);
 		}
@@ -153,17 +153,17 @@
 		return server;
 	}
 
-	/** Sends a measuring call at once. */
+	/** Sends a load probe at once. */
 	measureNow(server: BackendServerState): void {
-		this._startMeasuring(server);
+		this._startLoadProbe(server);
 	}
 
 	/**
-	 * A call of the service has come. The first one after a while brings the pace of measuring back, each backend
-	 * server in a phase of its own: a rush wakes all VMs at once, and they must not all measure at once.
+	 * Records the arrival of a call. The first call after an idle period restores the normal rate of load probes, with a
+	 * random phase for each backend server: a rush of calls reaches all VMs at once, and their probes must not coincide.
 	 */
 	noteCall(service: ServiceState, now: Instant): void {
-		const wasIdle = now - service.lastCallAt > idleAfter;
+		const wasIdle = now - service.lastCallAt > idleAfterMilliseconds;
 		service.lastCallAt = now;
 		if (!wasIdle || service.isMeasuredOnDemand) {
 			return;
@@ -171,15 +171,15 @@
 
 		for (const server of service.servers) {
 			server.schedule.start(now, this._context.random.next());
-			this._lookAt(server, now);
+			this._scheduleLoadProbeCheck(server, now);
 		}
 	}
 
-	/** Measures what is due, within the budget. */
+	/** Sends the load probes that are due, within the budget. */
 	measure(now: Instant): void {
-		for (let server = this._looks.takeDue(now); server !== undefined; server = this._looks.takeDue(now)) {
+		for (let server = this._loadProbeChecks.takeDue(now); server !== undefined; server = this._loadProbeChecks.takeDue(now)) {
 			if (this._servers.get(server.identity) === server) {
-				this._look(server, now);
+				this._checkLoadProbe(server, now);
 			}
 		}
 	}
@@ -188,7 +188,7 @@
 		return Array.from(this._servers.values(), server => this._status(server, now));
 	}
 
-	private _tellLimitChange(server: BackendServerState, change: RateLimitChange, source: 'answer' | 'load-probe', rateLimit: RateLimitNotice | undefined): void {
+	private _notifyRateLimitChange(server: BackendServerState, change: RateLimitChange, source: 'answer' | 'load-probe', rateLimit: RateLimitNotice | undefined): void {
 		if (change === 'none') {
 			return;
 		}
@@ -203,14 +203,14 @@
 		});
 	}
 
-	private _shareRetries(service: ServiceState): void {
+	private _setRetryBurstShare(service: ServiceState): void {
 		const {retryBurst} = this._context.settings;
 		if (retryBurst !== undefined) {
 			service.retryBudget.shareBurst(retryBurst, vmCountOf(this._context));
 		}
 	}
 
-	/** One pass over the backend servers: a pass for each service made a change cost the product of the two. */
+	/** Groups the backend servers by service in one pass. A pass per service would cost services times backend servers at each change. */
 	private _serversByService(): Map<string, BackendServerState[]> {
 		const servers = new Map<string, BackendServerState[]>();
 		for (const server of this._servers.values()) {
@@ -227,13 +227,13 @@
 
 	private _configureServers(configuration: CallConfiguration, now: Instant, isFirst: boolean): void {
 		for (const [identity, declared] of configuration.backendServers) {
-			const known = this._servers.get(identity);
-			if (known === undefined) {
+			const existing = this._servers.get(identity);
+			if (existing === undefined) {
 				this._add(identity, declared, now, isFirst);
-			} else if (isLaterProcess(known.declared, declared)) {
-				this._restart(known, declared, now);
+			} else if (isLaterProcess(existing.declared, declared)) {
+				this._replaceProcess(existing, declared, now);
 			} else {
-				redeclare(known, declared, now);
+				updateDeclaration(existing, declared, now);
 			}
 		}
 
@@ -244,11 +244,11 @@
 		}
 
 		for (const server of this._servers.values()) {
-			this._setEvacuated(server, configuration, now);
+			this._updateEvacuation(server, configuration, now);
 		}
 	}
 
-	private _setEvacuated(server: BackendServerState, {evacuatedDataCentres, warmUpLimits}: CallConfiguration, now: Instant): void {
+	private _updateEvacuation(server: BackendServerState, {evacuatedDataCentres, warmUpLimits}: CallConfiguration, now: Instant): void {
 		const isEvacuated = evacuatedDataCentres?.has(server.declared.dataCentre) === true;
 		const warmUp = warmUpLimits?.get(server.declared.service);
 		if (server.isEvacuated && !isEvacuated && warmUp !== undefined) {
@@ -258,34 +258,34 @@
 		server.isEvacuated = isEvacuated;
 	}
 
-	private _add(identity: BackendServerIdentity, declared: BackendServerInForce, now: Instant, isKnown: boolean): void {
-		const server = new BackendServerState(identity, declared, this._context.tuning, now, isKnown);
+	private _add(identity: BackendServerIdentity, declared: BackendServerInForce, now: Instant, isWarm: boolean): void {
+		const server = new BackendServerState(identity, declared, this._context.tuning, now, isWarm);
 		this._servers.set(identity, server);
 		server.schedule.start(now, this._context.random.next());
-		this._lookAt(server, now);
+		this._scheduleLoadProbeCheck(server, now);
 	}
 
 	/**
-	 * Guards a process that starts again under its predecessor's identity: judged by that one's reports, failures and
-	 * open attempts it would look full, failing or leaving, and a late report of the old one would speak for the new.
-	 * It gets a record of its own; what belongs to the old one ends with the attempts and measuring calls that hold it.
+	 * Creates a new record for a process that restarted under the same identity. With the old record, the new process would
+	 * look full, failing or leaving because of its predecessor's reports, failures and open attempts, and a late report of
+	 * the old process would be applied to the new one. Open attempts and load probes keep the old record until they end.
 	 */
-	private _restart(former: BackendServerState, declared: BackendServerInForce, now: Instant): void {
-		this._context.suspects.confirm(CrashSuspects.crashIdentity(former.identity, former.process), now);
-		if (former.look !== undefined) {
-			this._looks.remove(former.look);
+	private _replaceProcess(previous: BackendServerState, declared: BackendServerInForce, now: Instant): void {
+		this._context.suspects.confirm(CrashSuspects.crashIdentity(previous.identity, previous.process), now);
+		if (previous.look !== undefined) {
+			this._loadProbeChecks.remove(previous.look);
 		}
 
-		this._add(former.identity, declared, now, false);
-		this._context.replaced.push(former);
+		this._add(previous.identity, declared, now, false);
+		this._context.replaced.push(previous);
 	}
 
-	private _takeReport(server: BackendServerState, report: LoadReport, madeAt: Instant, now: Instant): void {
-		const former = server.report;
+	private _applyReport(server: BackendServerState, report: LoadReport, madeAt: Instant, now: Instant): void {
+		const previous = server.report;
 		const gap = madeAt - server.reportedAt;
 		const effect = server.takeReport(report, madeAt, now);
 		if (effect.isTaken) {
-			this._services.get(server.declared.service)?.answerTimes.addReport(report.workTimeFactor, former?.workTimeFactor, gap);
+			this._services.get(server.declared.service)?.answerTimes.addReport(report.workTimeFactor, previous?.workTimeFactor, gap);
 			this._services.get(server.declared.service)?.headroom.add(report);
 		}
 
@@ -293,13 +293,13 @@
 			this._context.suspects.confirm(CrashSuspects.crashIdentity(server.identity, effect.goneInstance), now);
 		}
 
-		// That another process answers is worth telling too: the fleet then drops the sign of the one that left.
+		// A new process is also sent to the peers, so that they drop the leaving sign of the previous process.
 		if (effect.beganToLeave || effect.goneInstance !== undefined) {
-			this._tell(server, report);
+			this._sendToPeers(server, report);
 		}
 	}
 
-	private _tell(server: BackendServerState, report: LoadReport): void {
+	private _sendToPeers(server: BackendServerState, report: LoadReport): void {
 		this._context.effects.push({
 			type: 'tell-peers',
 			update: {
@@ -308,7 +308,7 @@
 		});
 	}
 
-	private _look(server: BackendServerState, now: Instant): void {
+	private _checkLoadProbe(server: BackendServerState, now: Instant): void {
 		const service = this._services.get(server.declared.service);
 		if (service?.isMeasuredOnDemand === true) {
 			server.look = undefined;
@@ -316,35 +316,35 @@
 		}
 
 		const {shares} = this._context;
-		const isIdle = service === undefined || now - service.lastCallAt > idleAfter;
+		const isIdle = service === undefined || now - service.lastCallAt > idleAfterMilliseconds;
 		const need = {at: server.reportedAt, isIdle};
 		const dueAt = service === undefined ? undefined : server.schedule.dueAt(service.declared.measuring, shares, need, now);
 		if (service === undefined || dueAt === undefined) {
-			this._lookAt(server, now + longestLook);
+			this._scheduleLoadProbeCheck(server, now + checkIntervalMilliseconds);
 			return;
 		}
 
 		if (dueAt <= now && server.schedule.trySpend(service.declared.measuring, shares, now)) {
-			this._startMeasuring(server);
+			this._startLoadProbe(server);
 		}
 
-		const next = server.schedule.dueAt(service.declared.measuring, shares, {...need, at: server.reportedAt}, now) ?? now + longestLook;
-		this._lookAt(server, Math.max(next, now + 1));
+		const next = server.schedule.dueAt(service.declared.measuring, shares, {...need, at: server.reportedAt}, now) ?? now + checkIntervalMilliseconds;
+		this._scheduleLoadProbeCheck(server, Math.max(next, now + 1));
 	}
 
-	/** One look for each backend server is planned at any time. */
-	private _lookAt(server: BackendServerState, at: Instant): void {
+	/** Schedules the next check of a backend server, replacing the one that was scheduled before. */
+	private _scheduleLoadProbeCheck(server: BackendServerState, at: Instant): void {
 		if (server.look !== undefined) {
-			this._looks.remove(server.look);
+			this._loadProbeChecks.remove(server.look);
 		}
 
-		server.look = this._looks.add(at, server);
+		server.look = this._loadProbeChecks.add(at, server);
 	}
 
-	private _startMeasuring(server: BackendServerState): void {
-		const measurementId = this._nextMeasurementId++;
+	private _startLoadProbe(server: BackendServerState): void {
+		const measurementId = this._nextLoadProbeId++;
 		const measuring = this._services.get(server.declared.service)?.declared.measuring;
-		this._measurements.set(measurementId, server);
+		this._pendingLoadProbes.set(measurementId, server);
 		this._context.effects.push({
 			type: 'measure',
 			service: server.declared.service,
@@ -354,7 +354,7 @@
 			address: server.declared.address,
 			port: server.declared.port,
 			processStartedAt: server.declared.processStartedAt,
-			timeoutMilliseconds: measuring?.mode === 'on-demand' ? demandTimeout : measuringTimeout,
+			timeoutMilliseconds: measuring?.mode === 'on-demand' ? onDemandProbeTimeoutMilliseconds : measuringTimeout,
 		});
 	}
 
@@ -374,13 +374,13 @@
 	}
 }
 
-/** Whether this declaration is of a process that started after the one known under the identity. */
-function isLaterProcess(known: BackendServerInForce, declared: BackendServerInForce): boolean {
-	return declared.processStartedAt !== undefined && declared.processStartedAt > (known.processStartedAt ?? Infinity);
+/** Whether the declaration belongs to a process that started after the existing one under the same identity. */
+function isLaterProcess(existing: BackendServerInForce, declared: BackendServerInForce): boolean {
+	return declared.processStartedAt !== undefined && declared.processStartedAt > (existing.processStartedAt ?? Infinity);
 }
 
-/** A changed declaration; an order to leave that is taken back makes it a returned one. */
-function redeclare(server: BackendServerState, declared: BackendServerInForce, now: Instant): void {
+/** Applies a changed declaration. A backend server whose declared `isLeaving` is withdrawn counts as returned. */
+function updateDeclaration(server: BackendServerState, declared: BackendServerInForce, now: Instant): void {
 	const hasReturned = server.declared.isLeaving && !declared.isLeaving;
 	if (declared.warmUntil !== undefined && declared.warmUntil !== server.declared.warmUntil) {
 		server.warmUp.noteEntry(declared.warmUntil);
--- a/src/common/calls/service-state.ts
+++ b/src/common/calls/service-state.ts
@@ -1,4 +1,4 @@
-/** What this VM keeps of one service. */
+/** State of one service on this VM. */
 import {type Service, type SharingRule} from '../model/resources.ts';
 import {type Instant} from '../model/units.ts';
 import {MovingAverage} from './moving-average.ts';
@@ -15,43 +15,42 @@
 import {type WarmUpLimit} from './types.ts';
 
 /** Answer time assumed before the first answer. */
-const firstGuess = 20;
+const initialAnswerTimeMilliseconds = 20;
 
-/** Part of a new sample in means over all of a service's calls. */
-const meanGain = 0.02;
+/** Weight of a new sample in the moving averages over all calls of a service. */
+const meanSampleWeight = 0.02;
 
-/** The same for failures: a common cause must be seen before many backend servers are ejected for it. */
-const failingGain = 0.05;
+/** Weight of a new sample in the failure rate. High enough that a common cause shows before many backend servers are ejected for it. */
+const failureSampleWeight = 0.05;
 
-/** Good answers assumed before the first: two failures at the start are no common cause. */
-const assumedGood = 5;
+/** Successful answers assumed at the start, so that two early failures do not look like a common cause. */
+const initialSuccessCount = 5;
 
-/** Slowness of warming backend servers before any of their answers, what it counts for in samples, and their memory. */
-const assumedWarmUpSlowness = 2;
-const warmUpSamples = 4;
-const warmUpMemory = 40;
+/** Slowness of warming backend servers: initial value, its weight in samples, and the number of samples in the average. */
+const initialWarmUpSlowness = 2;
+const initialWarmUpSamples = 4;
+const warmUpMemorySamples = 40;
 
-/** A warming backend server's answer beyond this many usual times tells of a fault, and not of its warm-up. */
-const mostWarmUpRatio = 6;
+/** Cap on the ratio of one answer of a warming backend server: a higher ratio indicates a fault and not the warm-up. */
+const maxWarmUpRatio = 6;
 
-/** Priority of a service whose operator has named none. */
-const middlePriority = 5;
+/** Priority of a service whose declaration sets none. */
+const defaultPriority = 5;
 
-/** Sharing where the operator has declared no rule. */
+/** Sharing of a service without a declared rule. */
 export const defaultSharing = {callerShare: 0.5, overflowAt: 0.8};
 
-/** State of one service. */
 export class ServiceState {
 	declared: Service;
 	sharing: Pick<SharingRule, 'callerShare' | 'overflowAt'> = defaultSharing;
 	servers: readonly BackendServerState[] = [];
-	/** What its backend servers bear while they warm up; undefined = nothing is known of it. */
+	/** Load that its backend servers can take while they warm up; undefined = unknown. */
 	warmUp: WarmUpLimit | undefined;
-	/** When a call of this service last came to this VM. */
+	/** Time of the latest call of this service on this VM. */
 	lastCallAt: Instant = Number.NEGATIVE_INFINITY;
 	readonly classes: CallClasses;
 	readonly reportTrust = new ReportTrust();
-	/** Where measuring is on demand: what its answers and reports have taught. */
+	/** Model of its answer times, learnt from answers and reports; used only with on-demand load probes. */
 	readonly answerTimes = new AnswerTimeModel();
 	readonly headroom = new Headroom();
 	readonly returning = new RetryingCallers();
@@ -60,29 +59,29 @@
 	readonly queue: CallQueue;
 	/** Attempts in flight. */
 	inFlight = 0;
-	/** Since when calls have been waiting without a break; undefined while none waits. */
+	/** Time since which the queue has not been empty; undefined while it is empty. */
 	standingSince: Instant | undefined;
-	/** A look at the queue is planned. */
+	/** True while a timer for the next check of the queue is pending. */
 	isLookPlanned = false;
-	/** Part of the local slots believed to be in use: what overflow to other data centres goes by. */
+	/** Estimated fraction of the slots in the own data centre that are in use; controls the overflow to other data centres. */
 	localLoad = 0;
 	private _serversByDataCentre = new Map<string, BackendServerState[]>();
 	private readonly _callersInFlight = new Map<string, number>();
-	private readonly _warmUpSlowness = new MovingAverage(assumedWarmUpSlowness, warmUpSamples, warmUpMemory);
-	private _othersMean: number | undefined;
-	private _failing = 0;
+	private readonly _warmUpSlowness = new MovingAverage(initialWarmUpSlowness, initialWarmUpSamples, warmUpMemorySamples);
+	private _meanCallsOfOtherVms: number | undefined;
+	private _failureRate = 0;
 	private _answerCount = 0;
 	private readonly _tuning: CallTuning;
 
 	constructor(declared: Service, tuning: CallTuning) {
 		this.declared = declared;
 		this._tuning = tuning;
-		this.classes = new CallClasses(firstGuess, tuning.callClasses);
-		this.limit = new AdaptiveConcurrencyLimit(this._queueTarget());
+		this.classes = new CallClasses(initialAnswerTimeMilliseconds, tuning.callClasses);
+		this.limit = new AdaptiveConcurrencyLimit(this._targetQueuedPerSlot());
 		this.queue = tuning.isFair ? new FairCallQueue() : new ArrivalOrderQueue();
 	}
 
-	/** Reports are fetched before each attempt, and not by the clock. */
+	/** True if load probes are sent before each attempt and not on a schedule. */
 	get isMeasuredOnDemand(): boolean {
 		return this.declared.measuring.mode === 'on-demand';
 	}
@@ -92,24 +91,24 @@
 		return this.servers.some(server => server.takesNewAttempts);
 	}
 
-	/** Times longer that work takes at a backend server that warms up. */
+	/** Factor by which work takes longer on a backend server that is warming up; at least 1. */
 	get warmUpSlowness(): number {
 		return Math.max(1, this._warmUpSlowness.value);
 	}
 
-	/** A warming backend server answered after this many times the usual time. */
+	/** Records an answer of a warming backend server; `ratio` = its answer time as a multiple of the usual one. */
 	noteWarmUpAnswer(ratio: number): void {
 		if (Number.isFinite(ratio)) {
-			this._warmUpSlowness.add(Math.min(mostWarmUpRatio, ratio));
+			this._warmUpSlowness.add(Math.min(maxWarmUpRatio, ratio));
 		}
 	}
 
-	/** Failing part of all its latest calls. */
+	/** Fraction of the latest calls on all its backend servers that failed. */
 	get failing(): number {
-		return this._failing;
+		return this._failureRate;
 	}
 
-	/** Takes the backend servers that are in force. */
+	/** Sets the backend servers of the configuration in force. */
 	setServers(servers: BackendServerState[], vmCount: number): void {
 		this.servers = servers;
 		this._serversByDataCentre = new Map();
@@ -131,10 +130,10 @@
 		return this._serversByDataCentre.get(dataCentre) ?? [];
 	}
 
-	/** Takes a changed declaration. */
+	/** Applies a changed declaration. */
 	redeclare(declared: Service): void {
 		this.declared = declared;
-		this.limit.setTarget(this._queueTarget());
+		this.limit.setTarget(this._targetQueuedPerSlot());
 	}
 
 	setVmCount(vmCount: number): void {
@@ -146,27 +145,27 @@
 		this.limit.setBounds({slots, vmCount});
 	}
 
-	/** Calls of other VMs that a backend server usually has: from reports, else as many as own calls suggest. */
+	/** Mean number of calls of other VMs on a backend server: from reports, else estimated from the number of own calls. */
 	usualOthers(vmCount: number): number {
-		return this._othersMean ?? (this.inFlight / Math.max(1, this.servers.length)) * (vmCount - 1);
+		return this._meanCallsOfOtherVms ?? (this.inFlight / Math.max(1, this.servers.length)) * (vmCount - 1);
 	}
 
 	/**
-	 * Calls believed to be at a backend server: own ones are certain, those of other VMs are the usual
-	 * number and, as far as reports are trusted, what the latest one said beyond it.
+	 * Estimated number of calls on a backend server. Own calls are counted exactly. For other VMs, the estimate is their mean
+	 * number plus the excess over it in the latest report, weighted by the trust in reports.
 	 */
 	loadOf(server: BackendServerState, vmCount: number, now: Instant): number {
-		const usual = this.usualOthers(vmCount);
-		return (server.attempts.size * (1 + (this._tuning.ownAsSample * (vmCount - 1)))) + usual + (this.reportTrust.value * server.signalAt(now, usual, this.classes.all.holdMean));
+		const meanOthers = this.usualOthers(vmCount);
+		return (server.attempts.size * (1 + (this._tuning.ownAsSample * (vmCount - 1)))) + meanOthers + (this.reportTrust.value * server.signalAt(now, meanOthers, this.classes.all.holdMean));
 	}
 
 	noteOthers(others: number): void {
-		this._othersMean = this._othersMean === undefined ? others : this._othersMean + ((others - this._othersMean) * meanGain);
+		this._meanCallsOfOtherVms = this._meanCallsOfOtherVms === undefined ? others : this._meanCallsOfOtherVms + ((others - this._meanCallsOfOtherVms) * meanSampleWeight);
 	}
 
 	noteAnswer(hasFailed: boolean): void {
 		this._answerCount++;
-		this._failing += ((hasFailed ? 1 : 0) - this._failing) * Math.max(failingGain, 1 / (this._answerCount + assumedGood));
+		this._failureRate += ((hasFailed ? 1 : 0) - this._failureRate) * Math.max(failureSampleWeight, 1 / (this._answerCount + initialSuccessCount));
 	}
 
 	callerInFlight(caller: string): number {
@@ -189,15 +188,15 @@
 	}
 
 	/**
-	 * Services on the same backend servers all see the same queues there. The one that tolerates longer
-	 * ones keeps its concurrency while the others give theirs up, so that the least important is refused
-	 * first without any talk between VMs.
+	 * Number of queued calls per slot that the service tolerates on backend servers. Services that share backend servers see
+	 * the same queues there. The one that tolerates longer queues keeps its concurrency while the others reduce theirs, so
+	 * the least important service is refused first without coordination between VMs.
 	 */
-	private _queueTarget(): number {
-		return this._tuning.queuedPerSlot * (this._tuning.priorityFactor ** (this.declared.priority - middlePriority));
+	private _targetQueuedPerSlot(): number {
+		return this._tuning.queuedPerSlot * (this._tuning.priorityFactor ** (this.declared.priority - defaultPriority));
 	}
 
-	/** Time that `ahead` calls take to start when one starts with each that ends. */
+	/** Milliseconds until `ahead` queued calls have started, if each ending call lets one start. */
 	waitFor(ahead: number): number {
 		return ahead * this.classes.all.holdMean / Math.max(1, Math.min(this.limit.value, this.inFlight));
 	}
--- a/src/common/calls/timer-queue.ts
+++ b/src/common/calls/timer-queue.ts
@@ -1,21 +1,21 @@
-/** Instants with a payload, the earliest first: a binary heap, since a VM holds thousands of deadlines. */
+/** A priority queue of timers, earliest first, as a binary heap, since a VM holds thousands of deadlines. */
 import {type Instant} from '../model/units.ts';
 
-/** An entry of the queue, to take it out by. */
+/** An entry of the queue, used to remove it. */
 export type TimerEntry<T> = {
 	readonly at: Instant;
 	readonly value: T;
-	/** Place in the heap; `outside` once it has left. */
+	/** Index in the heap; `removedIndex` after removal. */
 	index: number;
 };
 
-const outside = -1;
+const removedIndex = -1;
 
 /**
- * A priority queue by instant. Every entry knows its place, so that the timers of a call that has ended
- * leave at once. Left to lapse, each would keep its call in memory until its deadline, though the call
- * took a millisecond and the deadline is seconds away: thousands of calls a second make that the
- * largest part of the heap, and every collection copies it.
+ * A priority queue by time. Every entry stores its index, so that the timers of an ended call can be removed at once.
+ * If they stayed until they were due, each would keep its call in memory until a deadline seconds away, although the call
+ * took a millisecond. With thousands of calls a second these would be the largest part of the memory heap, which every
+ * garbage collection copies.
  */
 export class TimerQueue<T> {
 	private readonly _heap: Array<TimerEntry<T>> = [];
@@ -24,7 +24,7 @@
 		return this._heap.length;
 	}
 
-	/** The earliest instant, or undefined while empty. */
+	/** Time of the earliest entry; undefined if the queue is empty. */
 	get earliest(): Instant | undefined {
 		return this._heap[0]?.at;
 	}
@@ -32,18 +32,18 @@
 	add(at: Instant, value: T): TimerEntry<T> {
 		const entry: TimerEntry<T> = {at, value, index: this._heap.length};
 		this._heap.push(entry);
-		this._rise(entry);
+		this._siftUp(entry);
 		return entry;
 	}
 
-	/** Takes an entry out; one that has left already is let be. */
+	/** Removes an entry; does nothing if it was removed before. */
 	remove(entry: TimerEntry<unknown>): void {
 		const {index} = entry;
-		if (index === outside) {
+		if (index === removedIndex) {
 			return;
 		}
 
-		entry.index = outside;
+		entry.index = removedIndex;
 		const last = this._heap.pop()!;
 		if (last === entry) {
 			return;
@@ -51,11 +51,11 @@
 
 		last.index = index;
 		this._heap[index] = last;
-		this._rise(last);
-		this._sink(last);
+		this._siftUp(last);
+		this._siftDown(last);
 	}
 
-	/** Takes out the earliest value that is due at `now`. */
+	/** Removes and returns the earliest value that is due at `now`; undefined if none is due. */
 	takeDue(now: Instant): T | undefined {
 		const first = this._heap[0];
 		if (first === undefined || first.at > now) {
@@ -66,14 +66,14 @@
 		return first.value;
 	}
 
-	/** Takes out values from the front that no longer mean anything, so that nobody wakes up for them. */
-	dropWhile(isDead: (value: T) => boolean): void {
-		for (let first = this._heap[0]; first !== undefined && isDead(first.value); first = this._heap[0]) {
+	/** Removes obsolete values from the front, so that no wake-up is scheduled for them. */
+	dropWhile(isObsolete: (value: T) => boolean): void {
+		for (let first = this._heap[0]; first !== undefined && isObsolete(first.value); first = this._heap[0]) {
 			this.takeDue(first.at);
 		}
 	}
 
-	private _rise(entry: TimerEntry<T>): void {
+	private _siftUp(entry: TimerEntry<T>): void {
 		const heap = this._heap;
 		let {index} = entry;
 		while (index > 0) {
@@ -90,7 +90,7 @@
 		this._put(entry, index);
 	}
 
-	private _sink(entry: TimerEntry<T>): void {
+	private _siftDown(entry: TimerEntry<T>): void {
 		const heap = this._heap;
 		let {index} = entry;
 		for (let child = (2 * index) + 1; child < heap.length; child = (2 * index) + 1) {
--- a/src/common/calls/types.ts
+++ b/src/common/calls/types.ts
@@ -1,6 +1,6 @@
 /**
- * The contract of the call engine: events in, effects out. The engine decides; an adapter with
- * sockets (src/node) or a test without any carries the effects out and reports what happened.
+ * The interface of the call engine: it takes events and returns effects. An adapter with sockets (src/node),
+ * or a test without sockets, executes the effects and reports the results as events.
  */
 import {type BackendServer, type Service, type SharingRule} from '../model/resources.ts';
 import {type Instant, type Milliseconds} from '../model/units.ts';
@@ -11,236 +11,237 @@
 	AttemptRecord, CallSummary, PlacingChoice, PlacingGrounds,
 } from './call-summary.ts';
 
-/** Names one call on one VM; never used again by this process. */
+/** Identifies one call on one VM; the process never reuses an id. */
 export type CallId = number;
 
-/** Names one attempt to run a call; late events of a given-up attempt are told apart by it. */
+/** Identifies one attempt to run a call. Late events of a cancelled attempt are recognised by this id. */
 export type AttemptId = number;
 
-/** Names one measuring call. */
+/** Identifies one load probe. */
 export type MeasurementId = number;
 
-/** Identity of a backend server resource: new when it is deleted and declared again. */
+/** Identity of a backend server resource. A resource that is deleted and declared again gets a new one. */
 export type BackendServerIdentity = string;
 
-/** What is known of whether a call ran. Told to the caller in the `jaydale-outcome` header. */
+/** Whether a call ran on a backend server, as far as the VM can determine. Sent to the caller in the `jaydale-outcome` header. */
 export type CallOutcome = 'ran' | 'not-run' | 'unknown';
 
-/** A backend server's own word about its load, on an answer or from its load endpoint. */
+/** Load that a backend server reports, either in the headers of an answer or at its load endpoint. */
 export type LoadReport = {
-	/** Calls running when the report was made. */
+	/** Number of calls running when the report was made. */
 	readonly inFlight: number;
-	/** Calls accepted and waiting there. */
+	/** Number of calls in the backend server's queue. */
 	readonly queued: number;
-	/** Calls it can run at once. */
+	/** Number of calls that it can run at once. */
 	readonly slots: number;
-	/** Process identity of the backend server, where it gives one: a restart makes a new one. */
+	/** Identity of the backend server's process, which changes at a restart; undefined if the report has none. */
 	readonly instance: string | undefined;
-	/** True once it has begun to leave. */
+	/** True once the backend server has begun to leave, that is, to drain before it stops. */
 	readonly isLeaving: boolean;
-	/** How long work takes on its VM at the moment, against the usual (1 = as usual); undefined where it does not say. */
+	/** Present duration of work on its VM as a multiple of the usual duration (1 = usual); undefined if not reported. */
 	readonly workTimeFactor?: number;
-	/** How much longer it warms up, 0 = it is warm; undefined where the report does not say. */
+	/** Remaining warm-up time, 0 once it is warm; undefined if not reported. */
 	readonly warmUpLeftMilliseconds?: Milliseconds;
-	/** The rate limit that came with a load probe's response; undefined = it names none. */
+	/** Rate limit in the response to a load probe; undefined if the response has none. */
 	readonly rateLimit?: RateLimitNotice;
 };
 
-/** Calls a second that a backend server takes from all VMs together, as an answer names it, until an answer names none. */
+/** Calls per second that a backend server accepts from all VMs together. A limit applies until a later answer has none. */
 export type RateLimitNotice = number | 'unreadable';
 
-/** What the route of a call says of it. It goes before the service's own rules. */
+/** Rules that a route sets for its calls. They take precedence over the rules of the service. */
 export type CallRule = {
-	/** Name of the route: what its calls cost is learnt by it. */
+	/** Name of the route. Work times are learnt separately for each route. */
 	readonly route: string;
-	/** The call may run more than once. */
+	/** True if the call may run more than once. */
 	readonly isIdempotent: boolean;
-	/** Longest that its caller is kept waiting. */
+	/** Maximum time until the caller gets an answer or a refusal. */
 	readonly timeoutMilliseconds: Milliseconds;
-	/** Time within which its answer is worth most. */
+	/** Latency objective: answers within this time count as good. */
 	readonly objectiveMilliseconds: Milliseconds;
-	/** Most backend servers that the call may be sent to. */
+	/** Maximum number of attempts, the first one included. */
 	readonly mostAttempts: number;
-	/** Rank among the calls of a service; 0 = most urgent. */
+	/** Priority among the calls of a service; 0 = most urgent. */
 	readonly priority: number;
 };
 
-/** A call as it arrived. */
+/** A call as received from a caller. */
 export type CallRequest = {
 	readonly callId: CallId;
 	readonly service: string;
-	/** Who calls, for fairness: the caller's declared name, else its address. */
+	/** Name that the caller declares, else its address. Used to share capacity fairly between callers. */
 	readonly caller: string;
 	readonly method: string;
-	/** Path of the call on the backend server, without its query: calls of one pattern cost alike. */
+	/** Path on the backend server, without the query. Calls whose paths match one pattern are assumed to cost the same. */
 	readonly path?: string;
-	/** Digest of method, path and the body's start: the same call sent again has the same one. */
+	/** Digest of the method, the path and the start of the body, so that a repeated call has the same fingerprint. */
 	readonly fingerprint: string;
-	/** Time left as its caller said; undefined = the service's own limit. Remaining time, never wall-clock. */
+	/** Remaining time that the caller sent (a duration, not a wall-clock time); undefined = the service's limit applies. */
 	readonly timeoutMilliseconds: Milliseconds | undefined;
-	/** Size of the body where its head says so. */
+	/** Size of the body in bytes; undefined if the request head does not state it. */
 	readonly bodyBytes: number | undefined;
 	readonly idempotencyKey: string | undefined;
-	/** False when a level above has kept retrying for itself: only one level may multiply calls. */
+	/** False if a caller further up retries the call itself. Only one level may retry, since retries at several levels multiply. */
 	readonly mayRetry: boolean;
-	/** Rules of the route by which it came; undefined = the service's. */
+	/** Rules of the matching route; undefined = the rules of the service apply. */
 	readonly rule?: CallRule;
 };
 
-/** Why an attempt ended without a whole answer. */
+/** Why an attempt ended without a complete answer. */
 export type AttemptFailure
-	/** No connection: refused or unreachable. Proof that nothing ran. */
+	/** The backend server refused the connection or was unreachable. Proves that the call did not run. */
 	= | 'connection-refused'
-	/** No byte of the call had left. Proof that nothing ran. */
+	/** No byte of the call was sent. Proves that the call did not run. */
 		| 'not-sent'
-	/** Cut after the first byte left and before the head of an answer: may have run. */
+	/** The connection broke after the first byte was sent and before the head of the answer. The call may have run. */
 		| 'reset-after-sending'
-	/** Cut after the head of the answer: it ran, and the answer is not whole. */
+	/** The connection broke after the head of the answer. The call ran; its answer is truncated. */
 		| 'reset-during-answer'
-	/** The connection was silent for longer than the attempt may take. */
+	/** Nothing arrived on the connection within the time limit of the attempt. */
 		| 'silent'
-	/** What came back is not the answer of this call: another call's, or one that lacks its proof. It may have run. */
+	/** The response belongs to another call, or lacks the proof that it belongs to this one. The call may have run. */
 		| 'wrong-answer';
 
-/** Events that the call engine is told. */
+/** Events that the call engine handles. */
 export type CallEvent
 	= | {readonly type: 'call-arrived'; readonly request: CallRequest}
-	/** The caller went away or cancelled. */
+	/** The caller disconnected or cancelled the call. */
 		| {readonly type: 'caller-gone'; readonly callId: CallId}
-	/** The first byte of the attempt has left this VM: from here it may run. */
+	/** The first byte of the attempt was sent; from now on the call may run. */
 		| {readonly type: 'attempt-sent'; readonly attemptId: AttemptId}
-	/** The head of the answer has come; nothing of it has been passed on yet. */
+	/** The head of the answer arrived. Nothing has been forwarded to the caller yet. */
 		| {
 			readonly type: 'attempt-head';
 			readonly attemptId: AttemptId;
 			readonly status: number;
 			readonly report: LoadReport | undefined;
-			/** Undefined = the answer names none. */
+			/** Rate limit in the answer; undefined if it has none. */
 			readonly rateLimit?: RateLimitNotice;
-			/** The backend server says in the agreed form that it did not run the call. */
+			/** True if the answer has the header by which a backend server declares that it did not run the call. */
 			readonly isDeclaredNotRun: boolean;
-			/** Strong validator of the answer (ETag without W/), for a resumed download. */
+			/** Strong validator of the answer (ETag without `W/`), needed to resume a download; undefined if it has none. */
 			readonly validator: string | undefined;
-			/** The body is kept whole and can be sent again; without it only bodiless methods count as such. */
+			/** True if the whole request body is buffered and can be sent again. Undefined = only requests without a body are replayable. */
 			readonly isReplayable?: boolean;
 		}
-	/** The whole answer has been passed on. */
+	/** The complete answer was forwarded to the caller. */
 		| {readonly type: 'attempt-done'; readonly attemptId: AttemptId; readonly bytesPassedOn?: number}
 		| {
 			readonly type: 'attempt-failed';
 			readonly attemptId: AttemptId;
 			readonly failure: AttemptFailure;
-			/** The body is kept whole and can be sent again. */
+			/** True if the whole request body is buffered and can be sent again. */
 			readonly isReplayable: boolean;
-			/** Bytes of the answer's body passed on so far. */
+			/** Bytes of the answer's body that were forwarded to the caller so far. */
 			readonly bytesPassedOn: number;
 		}
 		| {readonly type: 'measured'; readonly measurementId: MeasurementId; readonly report: LoadReport | undefined}
 		| {readonly type: 'key-claimed'; readonly callId: CallId; readonly claim: KeyClaim}
-	/** Declared resources as they are now in force. */
+	/** A new version of the declared resources is in force. */
 		| {readonly type: 'configured'; readonly configuration: CallConfiguration}
-	/** What this VM may spend of the fleet's budgets now. */
+	/** This VM's shares of the fleet's budgets changed. */
 		| {readonly type: 'shares'; readonly shares: FleetShares}
-	/** What peers have learnt. */
+	/** Load reports and crash suspects from other VMs. */
 		| {readonly type: 'peer-updates'; readonly updates: readonly LoadUpdate[]}
-	/** A backend server has begun to leave, as any VM noticed: this process of it gets no new work. */
+	/** Some VM detected that a backend server has begun to leave. The process named by `instance` gets no new calls. */
 		| {readonly type: 'backend-server-leaving'; readonly identity: BackendServerIdentity; readonly instance: string | undefined}
 	/**
-	 * This VM hears neither from the platform's service nor from any other VM, so its configuration may be
-	 * old. While it lasts only idempotent calls are placed; others are refused as not run (`not-ready`).
+	 * This VM lost or regained contact. While it is cut off, it receives nothing from the platform's service or from
+	 * any other VM, so its configuration may be outdated: only idempotent calls are placed, and others are refused as
+	 * not run (`not-ready`).
 	 */
 		| {readonly type: 'cut-off'; readonly isCutOff: boolean}
-	/** An operator lets a quarantined call run again. */
+	/** An operator lifted the quarantine of a fingerprint. */
 		| {readonly type: 'quarantine-lifted'; readonly fingerprint: string}
-	/** Nothing new is placed while it holds: after a pause, until waiting events have been handled. */
+	/** While placing is held, no new attempt is started: after a pause of the VM, until the pending events have been handled. */
 		| {readonly type: 'placing-held'; readonly isHeld: boolean}
 	/**
-	 * This process ends. First, half a second ahead, what has not been sent is given up, since it cannot be answered any more;
-	 * at the end (`isOver`) what was sent and has no answer yet.
+	 * This process is about to end. The event comes twice: half a second before the end, calls that were not sent are
+	 * refused, since no answer to them can arrive in time; at the end (`isOver`), sent calls without an answer are refused.
 	 */
 		| {readonly type: 'process-ending'; readonly isOver: boolean}
-	/** The time asked for by `nextWakeUp` has come. */
+	/** The time returned by `nextWakeUp` has come. */
 		| {readonly type: 'tick'};
 
-/** Answer of the platform's service to a claim of an idempotency key. */
+/** Response of the platform's service to a claim of an idempotency key. */
 export type KeyClaim
 	= | {readonly type: 'granted'}
-	/** Another call with this key runs or ran. */
+	/** Another call with this key is running or has run. */
 		| {readonly type: 'taken'}
-	/** The service could not say: this sending does not run, but one before it under the same key may have. */
+	/** The service gave no result. This request does not run, but an earlier one with the same key may have run. */
 		| {readonly type: 'unavailable'};
 
-/** A backend server as it is in force: as declared, and which process of it is meant where that is known. */
+/** A declared backend server, with the start time of its current process where that is known. */
 export type BackendServerInForce = BackendServer & {
 	/**
-	 * Unix milliseconds of the process's start by the backend server's own clock; compared only with other starts under
-	 * the same identity. A later one is another process, which holds and knows nothing of the one before.
+	 * Start of the process in Unix milliseconds of the backend server's own clock; compared only with other starts under
+	 * the same identity. A later start means a new process, which has none of the previous one's calls or state.
 	 */
 	readonly processStartedAt?: number;
-	/** When its warm-up is over, as its entry said when it was read; undefined = it is warm. */
+	/** End of its warm-up according to its registry entry when that was read; undefined = it is warm. */
 	readonly warmUntil?: Instant;
 };
 
-/** What a backend server bears while it warms up. */
+/** Load that a backend server can take while it warms up. */
 export type WarmUpLimit = {
-	/** Calls a second that all VMs together may send it. */
+	/** Calls per second that all VMs together may send to it. */
 	readonly callsPerSecond: number;
-	/** How long it warms up. */
+	/** Duration of the warm-up. */
 	readonly milliseconds: Milliseconds;
 };
 
-/** Everything declared that calls depend on. */
+/** All declared resources that affect calls. */
 export type CallConfiguration = {
 	readonly version: number;
 	readonly services: ReadonlyMap<string, Service>;
 	readonly backendServers: ReadonlyMap<BackendServerIdentity, BackendServerInForce>;
 	readonly sharingRules: readonly SharingRule[];
-	/** What backend servers of a service bear while they warm up; nothing is known of services that are missing. */
+	/** Warm-up limits by service name; a service without an entry has no known limit. */
 	readonly warmUpLimits?: ReadonlyMap<string, WarmUpLimit>;
-	/** Data centres whose backend servers get no new attempts; calls that run there finish. Undefined = none. */
+	/** Data centres whose backend servers get no new attempts; calls already running there finish. Undefined = none. */
 	readonly evacuatedDataCentres?: ReadonlySet<string>;
-	/** Routes by host and path, where the operators declare any. */
+	/** Routes by host and path; undefined if the operators declare none. */
 	readonly routing?: Routing;
 };
 
-/** The VMs that are known to serve, this one among them. */
+/** Names of the VMs that serve calls, this one included. */
 export type FleetMembers = {
-	/** Names this VM among them. */
+	/** Name of this VM. */
 	readonly own: string;
 	readonly byDataCentre: ReadonlyMap<string, readonly string[]>;
 };
 
-/** The part of the fleet's budgets that this VM may spend. The sum over all VMs never exceeds them. */
+/** This VM's shares of the fleet's budgets. The shares of all VMs never add up to more than a budget. */
 export type FleetShares = {
 	/**
-	 * Part of every measuring budget (0 to 1) that is this VM's; 0 where it holds no valid share. Strict:
-	 * it is spent only before `measuringUntil`.
+	 * This VM's fraction (0 to 1) of every load-probe budget; 0 while it holds no valid share. A strict limit:
+	 * probes are sent only before `loadProbesUntil`.
 	 */
 	readonly measuringPart: number;
-	/** Start of the right to measure: a former holder may have spent in the window before. */
+	/** Earliest time for load probes; the previous holder of the share may have spent the budget of the window before. */
 	readonly measuringFrom: Instant;
 	readonly measuringUntil: Instant;
-	/** Part of every backend server's connections (0 to 1) that is this VM's. */
+	/** This VM's fraction (0 to 1) of the connections to every backend server. */
 	readonly connectionPart: number;
-	/** VMs believed to serve, this one included; at least 1. An estimate: no promise rests on it. */
+	/** Estimated number of VMs that serve calls, this one included; at least 1. No strict limit depends on it. */
 	readonly vmCount: number;
-	/** Where VMs know one another by name. */
+	/** Names of the VMs; undefined where the VMs have no names for one another. */
 	readonly members?: FleetMembers;
 };
 
-/** What one VM tells its peers about a backend server. */
+/** Information on one backend server that a VM sends to its peers. */
 export type LoadUpdate = {
 	readonly identity: BackendServerIdentity;
 	readonly report: LoadReport | undefined;
-	/** Milliseconds since the report was made, at the moment of sending. */
+	/** Age of the report when the update was sent. */
 	readonly ageMilliseconds: Milliseconds;
-	/** Fingerprints of calls in flight when it crashed, if it did. */
+	/** Fingerprints of the calls that were in flight when the backend server crashed; empty without a crash. */
 	readonly suspects: readonly string[];
-	/** Crash the suspects belong to: the same crash told twice counts once. */
+	/** Identity of the crash that the suspects belong to, so that a crash reported twice counts once. */
 	readonly crash: string | undefined;
 };
 
-/** Why a call was given up; the `type` of its problem body is `urn:jaydale:problem:` and this word. */
+/** Why a call was refused. The `type` of the problem body is `urn:jaydale:problem:` followed by this reason. */
 export type RefusalReason
 	= | 'unknown-service'
 		| 'no-backend-server'
@@ -255,7 +256,7 @@
 		| 'not-ready'
 		| 'stopping';
 
-/** Effects that the adapter carries out, in order. */
+/** Effects that the adapter executes, in order. */
 export type CallEffect
 	= | {
 		readonly type: 'start-attempt';
@@ -264,37 +265,37 @@
 		readonly identity: BackendServerIdentity;
 		readonly address: string;
 		readonly port: number;
-		/** Start of the process that is meant; connections to an earlier one are not used for it. */
+		/** Start of the target process; connections to an earlier process are not reused for it. */
 		readonly processStartedAt?: number | undefined;
-		/** Time left for this attempt; passed on to the backend server. */
+		/** Remaining time for this attempt; sent along to the backend server. */
 		readonly timeoutMilliseconds: Milliseconds;
-		/** Do not use a kept-alive connection: one fell silent, and a new one tells whom to blame. */
+		/** Open a new connection instead of a kept-alive one: after silence it shows whether the connection or the server failed. */
 		readonly needsFreshConnection: boolean;
-		/** Most connections this VM may hold to the backend server. */
+		/** Maximum number of connections from this VM to the backend server. */
 		readonly connectionLimit: number;
-		/** Continue a broken-off download of this version from this byte. */
+		/** Resume an interrupted download of the version with this validator from this byte. */
 		readonly resume: {readonly offset: number; readonly validator: string} | undefined;
 	}
-	/** Stop the attempt and cancel it at the backend server. */
+	/** Stop the attempt and cancel the call at the backend server. */
 	| {readonly type: 'cancel-attempt'; readonly attemptId: AttemptId}
-	/** Pass the attempt's answer on to the caller, from its head. */
+	/** Forward the attempt's answer to the caller, starting with its head. */
 	| {
 		readonly type: 'pass-on';
 		readonly callId: CallId;
 		readonly attemptId: AttemptId;
-		/** For the `jaydale-outcome` header: a bare 5xx does not say whether the call ran. */
+		/** Value of the `jaydale-outcome` header, since a 5xx status alone does not show whether the call ran. */
 		readonly outcome: CallOutcome;
 	}
-	/** Break the half-passed-on answer off so that its caller can tell. */
+	/** Abort a partly forwarded answer so that the caller detects the truncation. */
 	| {readonly type: 'break-off'; readonly callId: CallId}
-	/** The final answer of a call that jaydale gave up on; sent at once. */
+	/** Send jaydale's own final answer to a call that no backend server answers; sent immediately. */
 	| {
 		readonly type: 'refuse';
 		readonly callId: CallId;
 		readonly status: number;
 		readonly reason: RefusalReason;
 		readonly outcome: CallOutcome;
-		/** When to come back; undefined = coming back does not help. */
+		/** Time after which the caller should retry; undefined if a retry does not help. */
 		readonly retryAfterMilliseconds: Milliseconds | undefined;
 	}
 	| {
@@ -306,49 +307,49 @@
 		readonly identity: BackendServerIdentity;
 		readonly address: string;
 		readonly port: number;
-		/** Start of the process that is meant. */
+		/** Start of the target process. */
 		readonly processStartedAt?: number | undefined;
 		readonly timeoutMilliseconds: Milliseconds;
 	}
 	| {readonly type: 'claim-key'; readonly callId: CallId; readonly service: string; readonly key: string}
-	/** The call did not run after its key was claimed: the key is free for the caller's next sending. */
+	/** The call did not run after its key was claimed: free the key for the caller's next request. */
 	| {readonly type: 'release-key'; readonly service: string; readonly key: string}
-	/** Worth telling peers soon. */
+	/** Send this update to the other VMs soon. */
 	| {readonly type: 'tell-peers'; readonly update: LoadUpdate}
-	/** A backend server names a rate limit from now on, another one, or none, or one that cannot be read. */
+	/** The rate limit of a backend server was set, changed or removed, or became unreadable. */
 	| {
 		readonly type: 'rate-limit-changed';
 		readonly identity: BackendServerIdentity;
 		readonly service: string;
 		readonly rateLimit: RateLimitNotice | undefined;
 		readonly source: 'answer' | 'load-probe';
-		/** Backend servers that name a rate limit now, as far as this VM knows. */
+		/** Number of backend servers with a rate limit known to this VM. */
 		readonly limitedServers: number;
 	}
-	/** One call has ended, for metrics, burn and logs. */
+	/** A call has ended; for metrics, the burn rate and logs. */
 	| {readonly type: 'call-ended'; readonly callId: CallId; readonly summary: CallSummary};
 
-/** The decider of all calls on one VM. No I/O, no clock, no chance of its own. */
+/** Decides on all calls of one VM. It has no I/O, clock or random source of its own. */
 export type CallEngine = {
-	/** Takes an event at `now` and returns what is to be done, in order. */
+	/** Handles an event at time `now` and returns the effects to execute, in order. */
 	handle(event: CallEvent, now: Instant): readonly CallEffect[];
-	/** When the engine wants a `tick`; undefined = not before another event. */
+	/** Time at which the engine requires a `tick`; undefined = none before the next event. */
 	nextWakeUp(): Instant | undefined;
-	/** Calls counted now; made for reading several times a second, its cost grows with services only. */
+	/** Current call counts. Cheap enough to read several times a second: the cost grows only with the number of services. */
 	load(): CallLoad;
-	/** What is known and counted, for status pages: its cost grows with backend servers. */
+	/** State and counts for status pages. The cost grows with the number of backend servers. */
 	status(now: Instant): CallEngineStatus;
 };
 
-/** Calls that have not ended. */
+/** Counts of calls that have not ended. */
 export type CallLoad = {
 	readonly callsInFlight: number;
 	readonly callsQueued: number;
-	/** Calls in flight of each service that has any. */
+	/** Calls in flight by service name; services without any are left out. */
 	readonly inFlightOfServices: ReadonlyMap<string, number>;
 };
 
-/** A page of what the engine knows. */
+/** State of the engine for a status page. */
 export type CallEngineStatus = {
 	readonly configurationVersion: number;
 	readonly callsInFlight: number;
@@ -357,7 +358,7 @@
 	readonly quarantined: ReadonlyArray<{readonly fingerprint: string; readonly crashes: number; readonly remainingMilliseconds: Milliseconds}>;
 };
 
-/** What the engine knows of one backend server. */
+/** State of one backend server for a status page. */
 export type BackendServerStatus = {
 	readonly identity: BackendServerIdentity;
 	readonly name: string;
@@ -366,7 +367,7 @@
 	readonly inFlight: number;
 	readonly reportedInFlight: number | undefined;
 	readonly reportAgeMilliseconds: Milliseconds | undefined;
-	/** Measuring calls made by this VM in the present window, and its allowance for the window. */
+	/** Load probes that this VM sent in the current window, and the number that it may send per window. */
 	readonly measuringSpent: number;
 	readonly measuringAllowed: number;
 };
--- a/src/common/calls/wake-guard.test.ts
+++ b/src/common/calls/wake-guard.test.ts
@@ -17,7 +17,7 @@
 };
 
 /** Notes what it is told and when. */
-class NotingEngine implements CallEngine {
+class RecordingEngine implements CallEngine {
 	readonly log: string[] = [];
 
 	handle(event: CallEvent, now: number): [] {
@@ -43,7 +43,7 @@
 describe('wake guard', () => {
 	it('lets a woken VM hear what happened before it decides on calls', function () {
 		// Guards calls after a pause of the VM against knowledge that is as old as the pause.
-		const engine = new NotingEngine();
+		const engine = new RecordingEngine();
 		const guard = new WakeGuard(engine);
 		guard.handle({type: 'tick'}, 0);
 		guard.handle({type: 'call-arrived', request}, 10_000);
@@ -61,7 +61,7 @@
 		// The VM is paused while it opens a connection. When it goes on, the call leaves, and its deadline is
 		// over. Told of the deadline first, the engine would say "not run" of a call that runs. Told late of
 		// the answer's head, it would have its body lost on the way: the caller would wait for ever.
-		const engine = new NotingEngine();
+		const engine = new RecordingEngine();
 		const guard = new WakeGuard(engine);
 		guard.handle({type: 'tick'}, 0);
 		guard.handle({type: 'tick'}, 10_000);
@@ -74,7 +74,7 @@
 	});
 
 	it('holds nothing back from a VM that runs on, busy or idle', function () {
-		const engine = new NotingEngine();
+		const engine = new RecordingEngine();
 		const guard = new WakeGuard(engine);
 		guard.handle({type: 'tick'}, 0);
 		guard.handle({type: 'tick'}, guard.nextWakeUp());
--- a/src/proof/guards/guards.ts
+++ b/src/proof/guards/guards.ts
@@ -50,7 +50,7 @@
 	{
 		name: 'a resumed download is of the same version',
 		file: `${calls}/attempt-runner.ts`,
-		text: 'event.status !== partialContent || event.validator !== before.validator',
+		text: 'event.status !== partialContentStatus || event.validator !== forwarded.validator',
 		replacement: 'false',
 		tests: callTests,
 	},
@@ -93,8 +93,8 @@
 	{
 		name: 'a sign about a process not met yet binds',
 		file: `${calls}/process-history.ts`,
-		text: 'if (instance !== undefined && this._past.includes(instance)) {\n\t\t\treturn false;',
-		replacement: 'if (instance !== undefined && this._present !== undefined && instance !== this._present) {\n\t\t\treturn false;',
+		text: 'if (instance !== undefined && this._goneInstances.includes(instance)) {\n\t\t\treturn false;',
+		replacement: 'if (instance !== undefined && this._currentInstance !== undefined && instance !== this._currentInstance) {\n\t\t\treturn false;',
 		tests: callTests,
 	},
 	{
