--- a/src/common/calls/call-engine.property.test.ts
+++ b/src/common/calls/call-engine.property.test.ts
@@ -6,7 +6,7 @@
 	type AttemptFailure, type CallEffect, type CallEvent, type CallOutcome,
 } from './types.ts';
 
-/** Printed with every failure; the same runs again. */
+/** Fixed seed, printed with every failure so that the run can be repeated. */
 const seed = 20_261_202;
 
 type ModelAttempt = {readonly id: number; readonly callId: number; readonly identity: string; isSent: boolean; hasHead: boolean; isLive: boolean; isProvenNotRun: boolean};
@@ -14,7 +14,7 @@
 
 const failures: readonly AttemptFailure[] = ['connection-refused', 'not-sent', 'reset-after-sending', 'silent'];
 
-/** The truth about all calls, kept beside the engine and compared with each effect. */
+/** Model of all calls and attempts, updated independently of the engine and compared with each effect. */
 class Oracle {
 	readonly driver = new EngineDriver(configurationOf(4, {claimsIdempotencyKeys: true, queueLimit: 5, retryShare: 1}));
 	readonly calls = new Map<number, ModelCall>();
@@ -23,7 +23,7 @@
 	readonly faults: string[] = [];
 	private _nextCallId = 1;
 
-	/** One step of the world, drawn by two numbers. */
+	/** Performs one step: `action` selects its kind, and `choice` selects the call or attempt and the details. */
 	step(action: number, choice: number): void {
 		const live = [...this.attempts.values()].filter(attempt => attempt.isLive);
 		const attempt = live[choice % Math.max(1, live.length)];
@@ -58,7 +58,7 @@
 		}
 	}
 
-	/** Lets everything come to its end. */
+	/** Ends all open attempts and checks that the engine has no calls or attempts left. */
 	finish(): void {
 		this.take(this.driver.passTime(20_000));
 		for (const attempt of this.attempts.values()) {
@@ -70,10 +70,10 @@
 		}
 
 		const open = [...this.calls.values()].filter(call => !call.isEnded);
-		this._check(open.length === 0, `calls without an end: ${open.map(call => call.callId).join(', ')}`);
+		this._check(open.length === 0, `calls that never ended: ${open.map(call => call.callId).join(', ')}`);
 		const status = this.driver.engine.status(this.driver.now);
-		this._check(status.callsInFlight === 0 && status.callsQueued === 0, 'the engine still counts calls');
-		this._check(status.backendServers.every(server => server.inFlight === 0), 'the engine still counts attempts');
+		this._check(status.callsInFlight === 0 && status.callsQueued === 0, 'the engine still counts calls after all of them ended');
+		this._check(status.backendServers.every(server => server.inFlight === 0), 'the engine still counts attempts after all of them ended');
 	}
 
 	take(effects: readonly CallEffect[]): void {
@@ -113,11 +113,11 @@
 	private _started(effect: CallEffect & {type: 'start-attempt'}): void {
 		const call = this.calls.get(effect.callId)!;
 		const mayStart = call.isIdempotent || call.attempts.every(attempt => !attempt.isLive && (attempt.isProvenNotRun || !attempt.isSent));
-		this._check(!call.isEnded && !call.isClaiming, `call ${call.callId} starts after its end or before its key`);
-		this._check(mayStart, `order ${call.callId} starts again without proof`);
-		this._check(!this.leaving.has(effect.identity), `${effect.identity} leaves and gets a call`);
+		this._check(!call.isEnded && !call.isClaiming, `call ${call.callId} started an attempt after its end or before its key was granted`);
+		this._check(mayStart, `non-idempotent call ${call.callId} was retried without proof that it had not run`);
+		this._check(!this.leaving.has(effect.identity), `${effect.identity} is leaving and got a call`);
 		const openCount = [...this.attempts.values()].filter(attempt => attempt.isLive && attempt.identity === effect.identity).length;
-		this._check(openCount < effect.connectionLimit, `${effect.identity} gets more connections than its part`);
+		this._check(openCount < effect.connectionLimit, `${effect.identity} got more calls than the connection limit of the VM`);
 		const attempt: ModelAttempt = {
 			id: effect.attemptId, callId: effect.callId, identity: effect.identity, isSent: false, hasHead: false, isLive: true, isProvenNotRun: false,
 		};
@@ -127,16 +127,16 @@
 
 	private _ended(callId: number, outcome: CallOutcome): void {
 		const call = this.calls.get(callId)!;
-		this._check(!call.isEnded, `call ${callId} ends twice`);
-		this._check(call.attempts.every(attempt => !attempt.isLive), `call ${callId} ends with an attempt under way`);
+		this._check(!call.isEnded, `call ${callId} ended twice`);
+		this._check(call.attempts.every(attempt => !attempt.isLive), `call ${callId} ended with an attempt in flight`);
 		this._checkOutcome(callId, outcome);
 		call.isEnded = true;
 	}
 
 	private _checkOutcome(callId: number, outcome: CallOutcome): void {
 		const mayHaveRun = this.calls.get(callId)!.attempts.some(attempt => attempt.isSent && !attempt.isProvenNotRun);
-		this._check(outcome !== 'not-run' || !mayHaveRun, `call ${callId} is told "not run" and may have run`);
-		this._check(outcome !== 'ran' || mayHaveRun, `call ${callId} is told "ran" and did not`);
+		this._check(outcome !== 'not-run' || !mayHaveRun, `call ${callId} ended with outcome "not-run" but may have run`);
+		this._check(outcome !== 'ran' || mayHaveRun, `call ${callId} ended with outcome "ran" but did not run`);
 	}
 
 	private _arrive(choice: number): void {
@@ -235,7 +235,7 @@
 		}
 	}
 
-	/** What has happened is true before the engine is told of it. */
+	/** Updates the model before the engine handles the event. */
 	private _feed(event: CallEvent, updateModel?: () => void): void {
 		updateModel?.();
 		this.take(this.driver.handle(event));
@@ -249,10 +249,10 @@
 }
 
 describe('call engine: properties', () => {
-	it('ends each call once and truly, and never starts an order twice without proof', function () {
-		// Callers, backend servers, the store and the clock do whatever they may, in any order: answers come
-		// late or half, connections break at every moment, keys are claimed after the caller has gone,
-		// backend servers leave. Whatever happens, the promises hold for every call.
+	it('ends each call once with a correct outcome and never retries a non-idempotent call without proof', function () {
+		// Generates random sequences of the events of callers, backend servers, the store and the clock: late or truncated
+		// answers, connections that break at any point, key claims that end after the caller has gone, and backend servers
+		// that leave.
 		this.timeout(120_000);
 		fc.assert(
 			fc.property(fc.array(fc.tuple(fc.nat({max: 14}), fc.nat({max: 9999})), {minLength: 5, maxLength: 150}), steps => {
@@ -273,7 +273,7 @@
 	});
 });
 
-/** Carries the oracle's findings to the report. */
+/** Reports the faults that the oracle found. */
 class AssertionFault extends Error {
 	constructor(faults: readonly string[]) {
 		super(faults.join('\n'));
--- a/src/common/calls/call-engine.test.ts
+++ b/src/common/calls/call-engine.test.ts
@@ -3,10 +3,10 @@
 	EngineDriver, configurationOf, linesOf, reportOf, requestOf, startIn,
 } from './engine-driver.test.ts';
 
-/** A read that may be hedged. */
+/** An idempotent call that may be hedged. */
 const read = {method: 'GET', path: '/spans/17', bodyBytes: 0} as const;
 
-/** Answers enough reads after 10 ms each for the engine to know what is usual. */
+/** Answers 200 reads after 10 ms each, so that the engine has enough samples of the usual answer time. */
 function recordUsualAnswerTime(driver: EngineDriver): void {
 	for (let callId = 1000; callId < 1200; callId++) {
 		const attempt = driver.start(requestOf(callId, read))!;
@@ -17,34 +17,32 @@
 }
 
 describe('call engine: outcomes', () => {
-	it('never starts an order again that may have run', () => {
-		// Guards a non-idempotent call against a second run when its connection ends without an answer.
+	it('never retries a non-idempotent call that may have run', () => {
+		// Guards against a second run of a call whose connection was reset before an answer.
 		const driver = new EngineDriver(configurationOf(5));
 		const {attemptId} = driver.start(requestOf(1))!;
 		driver.sent(attemptId);
 		expect(linesOf(driver.fail(attemptId, 'reset-after-sending'))).toEqual(['tell-peers', 'refuse outcome-unknown unknown 502', 'call-ended']);
 	});
 
-	it('places an order elsewhere when its connection was refused', () => {
-		// A backend server dies; its port refuses connections. The caller sees no failure, since a
-		// refused connection proves that nothing ran, and another backend server can run the order.
+	it('retries a non-idempotent call on another backend server after a refused connection', () => {
+		// A refused connection proves that the call did not run, so another backend server can run it.
 		const driver = new EngineDriver(configurationOf(5));
 		const first = driver.start(requestOf(1))!;
 		const second = startIn(driver.fail(first.attemptId, 'connection-refused'));
 		expect(second === undefined || second.identity === first.identity).toEqual(false);
 	});
 
-	it('leaves retrying to the level above that has kept it for itself', () => {
-		// A read passes 21 levels of services. If each level retried twice, one failing backend server
-		// would get 3 to the power of 21 calls. The level above has said that it retries.
+	it('does not retry a call whose caller retries itself', () => {
+		// Guards against multiplied retries: if a call passed 21 levels of services and each level retried twice, one
+		// failing backend server would get 3 to the power of 21 calls.
 		const driver = new EngineDriver(configurationOf(5));
 		const {attemptId} = driver.start(requestOf(1, {...read, mayRetry: false}))!;
 		expect(linesOf(driver.fail(attemptId, 'connection-refused'))).toEqual(['refuse backend-server-failed not-run 502', 'call-ended']);
 	});
 
-	it('drops a late answer to an attempt that was given up', () => {
-		// A call passes its deadline and is refused. Then its answer comes after all. It belongs to
-		// nobody any more: passed on it would reach a caller that has had its final answer.
+	it('drops a late answer to a cancelled attempt', () => {
+		// The call is refused at its deadline, and its answer arrives later. Guards against a second answer to the caller.
 		const driver = new EngineDriver(configurationOf(5));
 		const {attemptId} = driver.start(requestOf(1))!;
 		driver.sent(attemptId);
@@ -52,9 +50,8 @@
 		expect(driver.head(attemptId)).toEqual([]);
 	});
 
-	it('takes a bare 503 for no proof and a declared one for proof', () => {
-		// A backend server sheds an order. Only if it says in the agreed form that nothing ran may the
-		// order run elsewhere; a bare 503 may come from a proxy after the order was booked.
+	it('retries a non-idempotent call after a 503 only if that declares that the call did not run', () => {
+		// A 503 without the declaration may come from a proxy after the call has run.
 		const driver = new EngineDriver(configurationOf(5));
 		const bare = driver.start(requestOf(1))!;
 		expect(linesOf(driver.head(bare.attemptId, {status: 503}))).toEqual(['pass-on']);
@@ -62,17 +59,17 @@
 		expect(linesOf(driver.head(declared.attemptId, {status: 503, isDeclaredNotRun: true, isReplayable: true}))).toEqual(['cancel-attempt', 'start-attempt']);
 	});
 
-	it('says of a key that was claimed before that the outcome is unknown', () => {
-		// A treasurer pays dues, gets no answer and sends the payment again with the same key through
-		// another VM. The first sending may have run, so "not run" would be untrue of the payment.
+	it('refuses a call whose key was claimed before with an unknown outcome', () => {
+		// A caller gets no answer and repeats a payment with the same key through another VM. The first request may have
+		// run, so the outcome "not-run" would be wrong for the payment.
 		const driver = new EngineDriver(configurationOf(5, {claimsIdempotencyKeys: true}));
 		expect(linesOf(driver.handle({type: 'call-arrived', request: requestOf(1, {idempotencyKey: 'dues'})}))).toEqual(['claim-key']);
 		expect(linesOf(driver.handle({type: 'key-claimed', callId: 1, claim: {type: 'taken'}}))).toEqual(['refuse key-taken unknown 409', 'call-ended']);
 	});
 
-	it('frees a key whose call did not run, also when the claim is answered after the end', () => {
-		// A payment with a key ends before it ran: its caller goes away while the claim is under way. The
-		// claim is granted a moment later. Kept, the key would refuse the payment when it is sent again.
+	it('releases the key of a call that ended while its claim was pending', () => {
+		// The caller disconnects before the claim is granted, and the call does not run. Guards against a key that stays
+		// claimed, which would refuse the payment when the caller repeats it.
 		const driver = new EngineDriver(configurationOf(5, {claimsIdempotencyKeys: true}));
 		driver.handle({type: 'call-arrived', request: requestOf(1, {idempotencyKey: 'dues'})});
 		expect(linesOf(driver.handle({type: 'caller-gone', callId: 1}))).toEqual(['call-ended']);
@@ -81,10 +78,9 @@
 });
 
 describe('call engine: second attempts', () => {
-	it('tries a slow read a second time and cancels the loser', () => {
-		// One backend server stalls for a moment with a quote in a slot. Most quotes take 10 ms; this one
-		// has not come after 30. A second backend server answers, and the first attempt's late answer
-		// reaches nobody.
+	it('hedges a slow read and cancels the slower attempt', () => {
+		// Reads usually take 10 ms; this one has no answer after 30 ms, since its backend server stalls. A second backend
+		// server answers, and the late answer of the first attempt is dropped.
 		const driver = new EngineDriver(configurationOf(5));
 		recordUsualAnswerTime(driver);
 		const first = driver.start(requestOf(1, read))!;
@@ -96,8 +92,8 @@
 		expect(driver.head(first.attemptId)).toEqual([]);
 	});
 
-	it('never tries an order a second time for being slow', () => {
-		// The same stall with an order in the slot: a second attempt could book it twice.
+	it('never hedges a slow non-idempotent call', () => {
+		// Guards against a call that runs twice because its backend server stalls.
 		const driver = new EngineDriver(configurationOf(5));
 		recordUsualAnswerTime(driver);
 		driver.sent(driver.start(requestOf(1))!.attemptId);
@@ -105,8 +101,8 @@
 	});
 
 	it('keeps retries within their share when all backend servers fail', () => {
-		// All backend servers answer 503 for a while. Without a budget each read would come three times and
-		// keep them down. A fiftieth of the reads may be tried again, and one token from the start.
+		// All backend servers answer 503. Without a budget, each read would be sent three times and keep them overloaded.
+		// The budget allows retries for 2 % of the reads, plus the initial token.
 		const driver = new EngineDriver(configurationOf(5, {retryShare: 0.02}));
 		let starts = 0;
 		for (let callId = 1; callId <= 500; callId++) {
@@ -127,10 +123,9 @@
 		expect(starts).toBeLessThanOrEqual(500 + 11);
 	});
 
-	it('continues a broken-off download only with a part of the same version', () => {
-		// A landing engineer downloads a route map. The backend server dies in the middle. Another one has
-		// the same version (a strong validator proves it), so the rest follows; of a newer version the
-		// rest would make a file of two halves, and the download is broken off visibly.
+	it('resumes an interrupted download only with a part of the same version', () => {
+		// The backend server crashes during a download. If another one has the same version, proven by a strong validator,
+		// the download resumes there. The rest of a newer version would corrupt the file, so the download is aborted.
 		for (const [validator, expected] of [['"v1"', ['pass-on']], ['"v2"', ['cancel-attempt', 'break-off', 'call-ended']]] as const) {
 			const driver = new EngineDriver(configurationOf(5));
 			const first = driver.start(requestOf(1, read))!;
@@ -143,10 +138,10 @@
 	});
 });
 
-describe('call engine: whom to blame', () => {
-	it('blames the connection when the backend server has answered others meanwhile', () => {
-		// A connection goes silent for good: something between the ends has forgotten it. The backend
-		// server works and answers other calls; it must not lose its work for that.
+describe('call engine: attribution of failures', () => {
+	it('attributes silence to the connection if the backend server has answered another call since', () => {
+		// A device on the network path drops the state of a connection, which then stays silent. Guards a working backend
+		// server against ejection.
 		const driver = new EngineDriver(configurationOf(1));
 		const silent = driver.start(requestOf(1))!;
 		driver.sent(silent.attemptId);
@@ -159,10 +154,9 @@
 		expect([next.needsFreshConnection, driver.engine.status(driver.now).backendServers[0]!.state]).toEqual([false, 'active']);
 	});
 
-	it('asks a silent backend server once over a fresh connection before it takes it out', () => {
-		// Nothing has come from a backend server since an attempt fell silent. Connection or backend
-		// server? One read over a fresh connection tells: answered, it was the connection. Silent again,
-		// it is the backend server, and only then its work goes elsewhere.
+	it('ejects a silent backend server only after one more silent call on a new connection', () => {
+		// Nothing has arrived from the backend server since the silent attempt, so either it or the connection has failed.
+		// If one read on a new connection is answered, the connection was at fault; if it is silent too, the backend server is.
 		for (const [isAnswered, state] of [[true, 'active'], [false, 'ejected']] as const) {
 			const driver = new EngineDriver(configurationOf(5));
 			const silent = driver.start(requestOf(1))!;
@@ -185,10 +179,9 @@
 		}
 	});
 
-	it('lets a silent backend server come back where callers send nothing but orders', () => {
-		// A service takes orders only. One backend server's connection fell silent. No read will ever come
-		// to try a fresh one, and no measuring share is held: without an order the backend server would
-		// stay without work for good.
+	it('sends a trial call to a silent backend server of a service without idempotent calls', () => {
+		// The service gets no read that could test a new connection, and the VM holds no share for load probes. Guards
+		// against a backend server that never gets calls again.
 		const driver = new EngineDriver(configurationOf(5));
 		const silent = driver.start(requestOf(1))!;
 		driver.sent(silent.attemptId);
@@ -201,10 +194,9 @@
 		expect([trial.identity, trial.needsFreshConnection]).toEqual([silent.identity, true]);
 	});
 
-	it('sends few orders to a backend server that fails fast, and spreads them when all fail', () => {
-		// One backend server answers 500 at once: with the shortest answer time and the lowest load it
-		// would draw all orders. When all answer 500 the cause is common: no backend server is worse than
-		// another, and calls moved away from some would only drown the rest.
+	it('sends few calls to a backend server that fails fast, and distributes them evenly if all fail', () => {
+		// One backend server answers 500 at once. Guards against all calls going there for its short answer time and low load.
+		// If all answer 500, the cause is common, and moving calls away from some would only overload the others.
 		for (const [failing, mostAtFirst, mostAtAny] of [[1, 5, 300], [5, 80, 80]] as const) {
 			const driver = new EngineDriver(configurationOf(5));
 			const counts = [0, 0, 0, 0, 0];
@@ -222,9 +214,9 @@
 		}
 	});
 
-	it('gives a leaving backend server no new call, and a returned one its part again', () => {
-		// A backend server marks its answer: it begins to leave. From then on this VM gives it nothing and
-		// tells its peers. A minute later a new process answers its load endpoint: it gets work again.
+	it('sends no new calls to a leaving backend server, and sends calls again after its return', () => {
+		// A report on an answer marks the backend server as leaving: the VM sends it nothing more and notifies its peers. A
+		// minute later a report of a new process arrives, and the backend server gets calls again.
 		const driver = new EngineDriver(configurationOf(2));
 		const first = driver.start(requestOf(1))!;
 		const effects = driver.head(first.attemptId, {report: reportOf('process-1', {isLeaving: true})});
@@ -243,9 +235,9 @@
 });
 
 describe('call engine: the end of the process', () => {
-	it('refuses what waits, truly, and leaves what may run to its answer', () => {
-		// A VM stops. One order is with the only backend server, which takes no more; another waits for it. When the process
-		// ends the first may still be answered in the last moment, the second cannot: it is told now that it has not run.
+	it('refuses queued calls as not run and lets sent calls wait for their answers', () => {
+		// The only backend server is full, and one more call is queued. Shortly before the process ends, sent calls may still be
+		// answered, but the queued one cannot, so it is refused while there is time.
 		const driver = new EngineDriver(configurationOf(1));
 		const {attemptId} = driver.start(requestOf(1))!;
 		driver.sent(attemptId);
@@ -257,7 +249,7 @@
 		expect(linesOf(driver.head(attemptId))).toEqual(['pass-on']);
 	});
 
-	it('says at the very end that the outcome of what was sent is unknown', () => {
+	it('refuses sent calls with an unknown outcome at the end of the process', () => {
 		const driver = new EngineDriver(configurationOf(1));
 		driver.sent(driver.start(requestOf(1))!.attemptId);
 		expect(linesOf(driver.handle({type: 'process-ending', isOver: true}))).toEqual(['cancel-attempt', 'refuse outcome-unknown unknown 502', 'call-ended']);
--- a/src/common/calls/call-guards.test.ts
+++ b/src/common/calls/call-guards.test.ts
@@ -4,9 +4,9 @@
 } from './engine-driver.test.ts';
 
 describe('guards of the call engine', () => {
-	it('never starts a call again whose body is gone', () => {
-		// A caller sends an order of many megabytes. The connection to the backend server is refused. The body
-		// was not kept: sent again, the order would go out without it, or as half of it.
+	it('never retries a call whose body is not buffered', () => {
+		// A call with a large body gets a refused connection, and the body was not kept. A retry would send the call without
+		// its body or with a part of it.
 		const driver = new EngineDriver(configurationOf(3, {retryShare: 1}));
 		const first = driver.start(requestOf(1))!;
 		const effects = driver.handle({
@@ -15,9 +15,9 @@
 		expect(linesOf(effects)).toEqual(['refuse backend-server-failed not-run 502', 'call-ended']);
 	});
 
-	it('refuses orders while its configuration may be old, and serves reads', () => {
-		// A VM hears neither the store nor any other VM. Meanwhile an operator moves a service to other backend
-		// servers. An order placed by the old configuration would be run where nobody looks for it.
+	it('refuses non-idempotent calls while its configuration may be outdated, and serves reads', () => {
+		// A VM that has lost contact with the store and all other VMs misses that an operator moves a service to other
+		// backend servers. It would run non-idempotent calls on backend servers that the service no longer uses.
 		const driver = new EngineDriver(configurationOf(3));
 		driver.handle({type: 'cut-off', isCutOff: true});
 		expect(linesOf(driver.handle({type: 'call-arrived', request: requestOf(1)}))).toEqual(['refuse not-ready not-run 503', 'call-ended']);
--- a/src/common/calls/crash-suspects.test.ts
+++ b/src/common/calls/crash-suspects.test.ts
@@ -9,7 +9,7 @@
 	return effects.filter(effect => effect.type === 'tell-peers').map(effect => effect.update);
 }
 
-/** Several VMs that receive each other's updates at once. */
+/** Several VMs that receive one another's updates without delay. */
 class Fleet {
 	readonly vms: EngineDriver[];
 	private _nextCallId = 1;
@@ -18,7 +18,7 @@
 		this.vms = Array.from({length: count}, (_, index) => new EngineDriver(configurationOf(6), {}, index + 1));
 	}
 
-	/** Places calls on one VM each, then crashes a backend server under those that were placed on it. */
+	/** Places each call through one of the VMs on the backend server and resets its connection, as in a crash. */
 	crash(identity: string, fingerprints: readonly string[], incarnation: number): void {
 		for (const [index, fingerprint] of fingerprints.entries()) {
 			const vm = this.vms[index % this.vms.length]!;
@@ -36,7 +36,7 @@
 		const updates = updatesIn(effects);
 		for (const vm of this.vms) {
 			if (vm !== from && updates.length > 0) {
-				vm.handle({type: 'peer-updates', updates: updates});
+				vm.handle({type: 'peer-updates', updates});
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 		return vm.engine.status(vm.now).quarantined.map(entry => entry.fingerprint);
 	}
 
-	/** Sends the call until chance places it there; the others come through as calls of other fingerprints. */
+	/** Sends the call repeatedly until it is placed on the backend server; its caller cancels the other tries. */
 	private _placeOn(vm: EngineDriver, identity: string, fingerprint: string): number {
 		for (;;) {
 			const start = vm.start(requestOf(this._nextCallId++, {fingerprint}))!;
@@ -61,10 +61,9 @@
 }
 
 describe('calls that crash backend servers', () => {
-	it('convicts the call that two crashes have in common, at every VM, and none that was beside it', () => {
-		// A caller sends a call that crashes whichever backend server runs it, again and again, through any
-		// VM. Each VM sees one reset, beside those of other calls in flight. One VM alone could convict
-		// nobody; two crashes told among all leave only the guilty one in common.
+	it('quarantines only the call that is common to two crashes, on every VM', () => {
+		// A caller repeats a call that crashes every backend server, through any VM. Each VM sees one reset, along with resets
+		// of other calls, and cannot identify the harmful call alone; the crashes of all VMs have only that call in common.
 		const fleet = new Fleet(4);
 		fleet.crash('identity-1', ['killer', 'innocent-1', 'innocent-2'], 1);
 		expect(fleet.quarantinedAt(0)).toEqual([]);
@@ -74,10 +73,9 @@
 		expect(linesOf(effects)).toEqual(['refuse quarantined not-run 403', 'call-ended']);
 	});
 
-	it('clears a popular call that was beside the killer twice, once it comes through', () => {
-		// Everybody asks for today's schedule, so it is in flight at both crashes, with the killer. Two calls
-		// in common accuse neither. As soon as the schedule is answered anywhere it is cleared, which
-		// leaves the killer.
+	it('clears a frequent call that was in flight at two crashes once it is answered', () => {
+		// A frequent harmless call is in flight at both crashes, together with the harmful one. With two calls in common,
+		// neither is quarantined. An answer clears the harmless call, which leaves the harmful one.
 		const fleet = new Fleet(2);
 		fleet.crash('identity-1', ['killer', 'schedule'], 1);
 		fleet.crash('identity-4', ['schedule', 'killer'], 1);
@@ -89,9 +87,9 @@
 		expect(fleet.quarantinedAt(0)).toEqual(['killer']);
 	});
 
-	it('counts one crash once, however often and by whomever it is told, and forgets in time', () => {
-		// Sixteen VMs tell of the same crash of one process. Counted sixteen times it would convict all that
-		// were in flight. A backend server that was mended must get the call again some day.
+	it('counts a crash that several VMs report once, and ends the quarantine in time', () => {
+		// Sixteen VMs report the same crash of one process. Counted sixteen times, it would quarantine all calls in flight.
+		// The quarantine must end, since the backend servers may have been repaired.
 		const suspects = new CrashSuspects(1000);
 		for (let vm = 0; vm < 16; vm++) {
 			suspects.accuse(CrashSuspects.crashIdentity('identity-1', 'process-1'), ['a', 'b'], vm);
@@ -103,9 +101,8 @@
 		expect(suspects.isQuarantined('a', 1100)).toEqual(false);
 	});
 
-	it('keeps bounded memory under a flood of fingerprints', () => {
-		// A caller sends a thousand calls, each with its own body, through crashing backend servers. The
-		// memory for suspicion must not grow with what callers send.
+	it('bounds its memory when callers send many fingerprints', () => {
+		// A thousand crashes with different calls in flight. Guards against memory that grows with the calls of callers.
 		const suspects = new CrashSuspects(1_000_000);
 		for (let crash = 0; crash < 1000; crash++) {
 			suspects.accuse(`crash-${crash}`, Array.from({length: 100}, (_, index) => `print-${crash}-${index}`), crash);
@@ -116,9 +113,8 @@
 		expect(suspects.size).toBeLessThanOrEqual(256 * 64);
 	});
 
-	it('places no other call beside one that may crash its backend server', () => {
-		// A suspect read is tried again: had it company, the company would be lost if it kills, and look as
-		// guilty as it does the second time.
+	it('places no other call on a backend server that runs a suspect', () => {
+		// If the suspect crashes the backend server, other calls there would be lost and become suspects as well.
 		const driver = new EngineDriver(configurationOf(3));
 		driver.handle({
 			type: 'peer-updates', updates: [{
--- a/src/common/calls/engine-driver.test.ts
+++ b/src/common/calls/engine-driver.test.ts
@@ -1,4 +1,4 @@
-/** What the tests of the call engine share: a configuration, calls, and an engine that is told what happened. */
+/** Test utilities for the call engine: a configuration, calls, reports, and a driver with virtual time. */
 import {backendServerSchema, serviceSchema} from '../model/resources.ts';
 import {seededRandom} from '../random/random.ts';
 import {DefaultCallEngine} from './call-engine.ts';
@@ -9,7 +9,7 @@
 	type AttemptFailure, type CallConfiguration, type CallEffect, type CallEvent, type CallRequest, type LoadReport,
 } from './types.ts';
 
-/** One service `orders` with backend servers `identity-0`, `identity-1` and so on in one data centre. */
+/** A configuration with one service `orders` and backend servers `identity-0`, `identity-1` and so on in one data centre. */
 export function configurationOf(serverCount: number, service: Record<string, unknown> = {}): CallConfiguration {
 	const declared = serviceSchema.parse({kind: 'service', name: 'orders', ...service});
 	const servers = Array.from({length: serverCount}, (_, index) => backendServerSchema.parse({
@@ -23,7 +23,7 @@
 	};
 }
 
-/** An order, unless the changes say otherwise. */
+/** A non-idempotent call of the service `orders`, with the given changes. */
 export function requestOf(callId: number, changes: Partial<CallRequest> = {}): CallRequest {
 	return {
 		callId,
@@ -48,12 +48,12 @@
 /** The effect that starts an attempt. */
 export type Start = CallEffect & {type: 'start-attempt'};
 
-/** Effects as short lines, for comparison. */
+/** Converts effects to short lines for comparison. */
 export function linesOf(effects: readonly CallEffect[]): string[] {
 	return effects.map(effect => effect.type === 'refuse' ? `refuse ${effect.reason} ${effect.outcome} ${effect.status}` : effect.type);
 }
 
-/** An engine and its virtual time. */
+/** Runs an engine in virtual time. */
 export class EngineDriver {
 	readonly engine: DefaultCallEngine;
 	now = 0;
@@ -74,7 +74,7 @@
 		return this.engine.handle(event, this.now);
 	}
 
-	/** A call arrives; the attempt that it starts, if any. */
+	/** Handles an arriving call and returns its first attempt; undefined if none started. */
 	start(request: CallRequest): Start | undefined {
 		return startIn(this.handle({type: 'call-arrived', request}));
 	}
@@ -89,7 +89,7 @@
 		});
 	}
 
-	/** The whole answer. */
+	/** Sends the head and the end of an answer to the engine. */
 	answer(attemptId: number, report?: LoadReport): void {
 		this.head(attemptId, {report});
 		this.handle({type: 'attempt-done', attemptId});
@@ -101,7 +101,7 @@
 		});
 	}
 
-	/** Lets time pass, with the ticks that the engine asks for. */
+	/** Advances the virtual time and sends the ticks that the engine requires; returns their effects. */
 	passTime(milliseconds: number): CallEffect[] {
 		const end = this.now + milliseconds;
 		const effects: CallEffect[] = [];
@@ -115,20 +115,20 @@
 	}
 }
 
-/** The first start among effects. */
+/** Returns the first started attempt among the effects. */
 export function startIn(effects: readonly CallEffect[]): Start | undefined {
 	return effects.find((effect): effect is Start => effect.type === 'start-attempt');
 }
 
-/** One measuring call that the engine asks for. */
+/** The effect that sends a load probe. */
 export type Measure = CallEffect & {type: 'measure'};
 
-/** The measuring calls among effects. */
+/** Returns the load probes among the effects. */
 export function measuresOf(effects: readonly CallEffect[]): Measure[] {
 	return effects.filter((effect): effect is Measure => effect.type === 'measure');
 }
 
-/** Answers measuring calls by what is known of each backend server; the effects that follow. */
+/** Answers load probes with the report for each backend server (undefined = no answer); returns the resulting effects. */
 export function answerMeasures(driver: EngineDriver, loadProbes: readonly Measure[], reportFor: (identity: string) => LoadReport | undefined): CallEffect[] {
 	return loadProbes.flatMap(({measurementId, identity}) => [...driver.handle({type: 'measured', measurementId, report: reportFor(identity)})]);
 }
--- a/src/common/calls/health-chart.test.ts
+++ b/src/common/calls/health-chart.test.ts
@@ -9,9 +9,8 @@
 const events: readonly HealthEvent[] = ['WARM', 'SILENT', 'ANSWERED', 'FAILING', 'PROBE', 'LEAVE', 'RETURN'];
 
 describe('health chart', () => {
-	it('steps in the table as the chart does in the interpreter, for every state and event', () => {
-		// The table is made for speed from the same file. Did the two differ, operators would read one life
-		// of a backend server in the chart and see another.
+	it('has the same transitions in its table as the state chart, for every state and event', () => {
+		// The table is built for speed from the chart that operators read. Guards against transitions that differ from it.
 		const machine = createMachine(chart);
 		for (const state of states) {
 			for (const event of events) {
--- a/src/common/calls/process-restart.test.ts
+++ b/src/common/calls/process-restart.test.ts
@@ -4,7 +4,7 @@
 } from './engine-driver.test.ts';
 import {type CallConfiguration} from './types.ts';
 
-/** One backend server, whose process started at this time. */
+/** A configuration with one backend server whose process started at this time. */
 function configurationStartedAt(processStartedAt: number, version: number, changes: {readonly isLeaving?: boolean} = {}): CallConfiguration {
 	const configuration = configurationOf(1);
 	return {
@@ -14,9 +14,9 @@
 	};
 }
 
-describe('a process that starts again under its identity', () => {
-	// Guards a restarted backend server against the reports and the leaving of the process before.
-	it('is judged by nothing that was known of the one before', () => {
+describe('a process that restarts under the same identity', () => {
+	// Guards a restarted backend server against the reports and the leaving state of its previous process.
+	it('has none of the state of the previous process', () => {
 		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		const first = driver.start(requestOf(1))!;
 		driver.answer(first.attemptId, reportOf('identity-0', {inFlight: 6, queued: 9, isLeaving: true}));
@@ -27,8 +27,8 @@
 		expect(driver.start(requestOf(3))?.processStartedAt).toEqual(2000);
 	});
 
-	// Guards a restarted backend server against an older declaration that arrives later.
-	it('stays when an older word of its predecessor comes', () => {
+	// Guards the load report of a process against a declaration that does not belong to a later process.
+	it('keeps its state when the same start time is declared again', () => {
 		const driver = new EngineDriver(configurationStartedAt(2000, 1));
 		const first = driver.start(requestOf(1))!;
 		driver.answer(first.attemptId, reportOf('identity-0', {inFlight: 2}));
@@ -36,8 +36,8 @@
 		expect(driver.engine.status(driver.now).backendServers[0]?.reportedInFlight).toEqual(2);
 	});
 
-	// Guards a non-idempotent call at a process that is gone against a second run and a false promise of not run.
-	it('leaves an order of the old one open, which may have run', () => {
+	// Guards a non-idempotent call on the previous process against a second run and against a wrong outcome "not-run".
+	it('leaves non-idempotent calls of the previous process open, since they may have run', () => {
 		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		const order = driver.start(requestOf(1))!;
 		driver.sent(order.attemptId);
@@ -45,8 +45,8 @@
 		expect([effects.length, driver.fail(order.attemptId, 'reset-after-sending').map(({type}) => type)]).toEqual([0, ['tell-peers', 'refuse', 'call-ended']]);
 	});
 
-	// Guards an idempotent call against waiting for a process that is gone.
-	it('has reads of the old one tried again at once', () => {
+	// Guards an idempotent call against waiting for a process that has ended.
+	it('gets the reads of the previous process as hedges at once', () => {
 		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		for (let call = 10; call < 80; call++) {
 			driver.answer(driver.start(requestOf(call, {method: 'GET', bodyBytes: 0}))!.attemptId);
@@ -58,7 +58,7 @@
 		expect(effects.map(effect => effect.type === 'start-attempt' ? [effect.callId, effect.processStartedAt] : effect.type)).toEqual([[1, 2000]]);
 	});
 
-	it('says nothing by a late answer of the old one', () => {
+	it('ignores the report on a late answer of the previous process', () => {
 		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		const order = driver.start(requestOf(1))!;
 		driver.handle({type: 'configured', configuration: configurationStartedAt(2000, 2)});
--- a/src/common/calls/retry-budget.test.ts
+++ b/src/common/calls/retry-budget.test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {RetryBudget} from './retry-budget.ts';
 
-/** Second attempts that one VM of so many makes when a fault begins after a quiet hour. */
+/** Number of retries that one of `vmCount` VMs may start at once when a fault begins after 1000 calls without failures. */
 function countBurstAttempts(burst: number, vmCount: number): number {
 	const budget = new RetryBudget();
 	budget.shareBurst(burst, vmCount);
@@ -17,13 +17,13 @@
 	return attempts;
 }
 
-describe('the fleet\'s burst of retries', () => {
-	// Guards the retry budget against the sum of what each VM of a large fleet has saved up.
-	it('is shared out, so that all VMs together stay within it', () => {
+describe('retry burst of the fleet', () => {
+	// Guards against a retry storm from the tokens that all VMs of a large fleet have saved.
+	it('is divided among the VMs so that their total stays within it', () => {
 		expect([14 * countBurstAttempts(58, 14) <= 58, 116 * countBurstAttempts(186, 116) <= 186, countBurstAttempts(58, 14) >= 3]).toEqual([true, true, true]);
 	});
 
-	it('leaves each VM one second attempt', () => {
+	it('allows each VM at least one retry', () => {
 		expect(countBurstAttempts(60, 1000)).toEqual(1);
 	});
 });
--- a/src/common/calls/retrying-callers.test.ts
+++ b/src/common/calls/retrying-callers.test.ts
@@ -15,23 +15,23 @@
 	return callers;
 }
 
-describe('callers that come back', () => {
-	it('have spent what is missing of the usual time', () => {
+describe('retrying callers', () => {
+	it('have spent the difference to the usual timeout', () => {
 		expect(callersAfter([1190, 1178, 1191, 1179, 1190]).spentOf(700, rule)).toEqual(490);
 	});
 
-	it('are not told from others before some have come', () => {
+	it('are not detected before there are enough samples', () => {
 		expect(callersAfter([1190, 1190]).spentOf(700, rule)).toEqual(0);
 	});
 
-	// Guards fresh callers against a few with long deadlines, by which all others would look like retrying callers.
-	it('are not measured against a few callers that wait far longer', () => {
+	// Guards first tries against a few callers with long timeouts, compared with which all others would look like retries.
+	it('are not detected by comparison with a few callers with far longer timeouts', () => {
 		const callers = callersAfter([2992, 1190, 1178, 2993, 1191, 1179, 1190, 2992, 1178, 1178, 1190]);
 		expect([callers.spentOf(1178, rule), callers.spentOf(993, rule), callers.spentOf(2992, rule)]).toEqual([0, 0, 0]);
 	});
 
-	// Guards the usual deadline against a burst in which most callers are retrying.
-	it('are told from fresh ones also when they are more than half', () => {
+	// Guards the usual timeout against a burst in which most callers are retrying.
+	it('are detected also if they are more than half of all callers', () => {
 		const callers = callersAfter([1190, 700, 650, 1190, 720, 690, 1178, 640, 1190, 700, 1190]);
 		expect(callers.spentOf(700, rule) > 0).toEqual(true);
 	});
--- a/src/common/calls/service-directory.test.ts
+++ b/src/common/calls/service-directory.test.ts
@@ -8,11 +8,8 @@
 import {WholeRateQuota} from './rate-quota.ts';
 
 describe('ServiceDirectory', () => {
-	/*
-	 * An operator deletes the rule that gave one club a tenth of the slots, and the club stays limited. Order: the rule is
-	 * declared, then deleted. Cause: the last rule seen was kept where there is none any more.
-	 */
-	it('goes back to the default when a sharing rule is deleted', () => {
+	// Guards against a sharing rule that stays in force after an operator has deleted it.
+	it('applies the default when a sharing rule is deleted', () => {
 		const directory = new ServiceDirectory({
 			random: seededRandom(1), tuning: defaultTuning, settings: {dataCentre: 'north'}, timers: new TimerQueue(),
 			suspects: new CrashSuspects(1000), freed: new Set(), replaced: [], shares: undefined,
--- a/src/common/calls/service-directory.ts
+++ b/src/common/calls/service-directory.ts
@@ -11,7 +11,7 @@
 	type BackendServerIdentity, type BackendServerInForce, type BackendServerStatus, type CallConfiguration, type FleetShares, type LoadUpdate, type LoadReport, type MeasurementId, type RateLimitNotice,
 } from './types.ts';
 
-/** Check interval of a backend server for which no load probe can be scheduled: the VM holds no share of the budget, or the service is unknown. */
+/** Check interval while no load probe can be scheduled, because the VM holds no share of the budget or the service is unknown. */
 const checkIntervalMilliseconds = 1000;
 
 /**
@@ -130,7 +130,7 @@
 		this._notifyRateLimitChange(server, server.rateLimit.noteAnswer(rateLimit, startedAt, now), 'answer', rateLimit);
 	}
 
-	/** Handles the result of a load probe (`report` undefined = no answer). Returns the probed backend server; undefined for an unknown id. */
+	/** Handles the result of a load probe; `report` is undefined without an answer. Returns the probed backend server, or undefined for an unknown id. */
 	takeMeasurement(measurementId: MeasurementId, report: LoadReport | undefined, now: Instant): BackendServerState | undefined {
 		const server = this._pendingLoadProbes.get(measurementId);
 		this._pendingLoadProbes.delete(measurementId);
--- a/src/common/calls/silent-resume.test.ts
+++ b/src/common/calls/silent-resume.test.ts
@@ -3,12 +3,11 @@
 	configurationOf, EngineDriver, linesOf, requestOf, type Start,
 } from './engine-driver.test.ts';
 
-describe('a download that goes on elsewhere', () => {
-	it('gets the time of a call again, and breaks off when nothing comes', () => {
-		// A landing engineer downloads a map for a minute; then its backend server dies. The download is taken up
-		// elsewhere, over a connection that is lost track of: no head ever comes. The call's deadline passed long
-		// ago: the new attempt was given one millisecond, and with nothing left to end it the engineer waited
-		// without end.
+describe('a download that resumes on another backend server', () => {
+	it('gets the full timeout of a call again and is aborted without a head by then', () => {
+		// After a minute of a download, the backend server crashes. The download resumes on another one over a dead connection,
+		// so no head ever arrives. The deadline of the call has passed long ago. Guards against a resume attempt that gets a
+		// timeout of one millisecond, and against a caller that waits forever because no timer is left to end the call.
 		const driver = new EngineDriver(configurationOf(3, {retryShare: 1}));
 		const first = driver.start(requestOf(1, {method: 'GET'}))!;
 		driver.sent(first.attemptId);
--- a/src/common/calls/timer-queue.test.ts
+++ b/src/common/calls/timer-queue.test.ts
@@ -13,9 +13,9 @@
 );
 
 describe('timer queue', () => {
-	// Memory of a busy VM grows by every call it has answered until their deadlines pass: an entry that
-	// was taken out early must be gone, and the order of all others must not suffer from the hole.
-	it(`keeps the order of a sorted list whatever is added, removed and taken (seed ${seed})`, () => {
+	// Guards against removed entries that stay in memory until the deadlines of their calls, and against a removal that
+	// breaks the order of the other entries.
+	it(`keeps the order of a sorted list for any sequence of additions and removals (seed ${seed})`, () => {
 		fc.assert(fc.property(fc.array(step, {maxLength: 120}), steps => {
 			const queue = new TimerQueue<number>();
 			const added: Array<TimerEntry<number>> = [];
--- a/src/common/calls/wake-guard.test.ts
+++ b/src/common/calls/wake-guard.test.ts
@@ -16,7 +16,7 @@
 	mayRetry: true,
 };
 
-/** Notes what it is told and when. */
+/** Records the type and time of each event. */
 class RecordingEngine implements CallEngine {
 	readonly log: string[] = [];
 
@@ -41,8 +41,8 @@
 }
 
 describe('wake guard', () => {
-	it('lets a woken VM hear what happened before it decides on calls', function () {
-		// Guards calls after a pause of the VM against knowledge that is as old as the pause.
+	it('handles pending updates before calls after a pause', function () {
+		// Guards calls after a pause of the VM against state that is as old as the pause.
 		const engine = new RecordingEngine();
 		const guard = new WakeGuard(engine);
 		guard.handle({type: 'tick'}, 0);
@@ -57,10 +57,10 @@
 		expect(engine.log).toMatchSnapshot(this);
 	});
 
-	it('never keeps back what happens to attempts', function () {
-		// The VM is paused while it opens a connection. When it goes on, the call leaves, and its deadline is
-		// over. Told of the deadline first, the engine would say "not run" of a call that runs. Told late of
-		// the answer's head, it would have its body lost on the way: the caller would wait for ever.
+	it('never holds events of attempts', function () {
+		// The VM is paused while it opens a connection; afterwards the call is sent although its deadline has passed. If the
+		// engine handled the deadline first, it would refuse a running call as "not run". If it got the head of the answer
+		// late, the adapter would drop the body, and the caller would wait forever.
 		const engine = new RecordingEngine();
 		const guard = new WakeGuard(engine);
 		guard.handle({type: 'tick'}, 0);
@@ -73,7 +73,7 @@
 		expect(engine.log).toMatchSnapshot(this);
 	});
 
-	it('holds nothing back from a VM that runs on, busy or idle', function () {
+	it('holds no events without a pause, busy or idle', function () {
 		const engine = new RecordingEngine();
 		const guard = new WakeGuard(engine);
 		guard.handle({type: 'tick'}, 0);
