--- a/src/common/calls/attempt-runner.ts
+++ b/src/common/calls/attempt-runner.ts
@@ -48,7 +48,7 @@
 	readonly attempts: Map<AttemptId, Attempt>;
 	readonly placer: Placer;
 	readonly health: HealthJudge;
-	/** Applies a load report and sends important changes to the other VMs. */
+	/** Applies a load report and sends a changed process or the beginning of leaving to the other VMs. */
 	readonly onReport: (server: BackendServerState, report: LoadReport, now: Instant) => void;
 	/** Applies the rate limit in the answer to an attempt, or its absence. */
 	readonly onRateLimit: (attempt: Attempt, rateLimit: RateLimitNotice | undefined, now: Instant) => void;
@@ -179,7 +179,7 @@
 		return true;
 	}
 
-	/** Removes an attempt that has ended or was cancelled. Does nothing if it is removed already. */
+	/** Removes an attempt that has ended or was cancelled. Does nothing if it was removed before. */
 	drop(attempt: Attempt): void {
 		if (!this._attempts.delete(attempt.id)) {
 			return;
@@ -264,8 +264,8 @@
 			return;
 		}
 
-		const hasProof = notRunFailures.has(event.failure);
-		call.mayHaveRun ||= !hasProof;
+		const isProvenNotRun = notRunFailures.has(event.failure);
+		call.mayHaveRun ||= !isProvenNotRun;
 		call.resets += event.failure === 'reset-after-sending' ? 1 : 0;
 		this.drop(attempt);
 		call.failedOn.add(attempt.server);
--- a/src/common/calls/call-engine.test.ts
+++ b/src/common/calls/call-engine.test.ts
@@ -50,7 +50,7 @@
 		expect(driver.head(attemptId)).toEqual([]);
 	});
 
-	it('retries a non-idempotent call after a 503 only if that declares that the call did not run', () => {
+	it('retries a non-idempotent call after a 503 only if the answer declares that the call did not run', () => {
 		// A 503 without the declaration may come from a proxy after the call has run.
 		const driver = new EngineDriver(configurationOf(5));
 		const bare = driver.start(requestOf(1))!;
@@ -59,7 +59,7 @@
 		expect(linesOf(driver.head(declared.attemptId, {status: 503, isDeclaredNotRun: true, isReplayable: true}))).toEqual(['cancel-attempt', 'start-attempt']);
 	});
 
-	it('refuses a call whose key was claimed before with an unknown outcome', () => {
+	it('reports an unknown outcome for a call whose key was claimed before', () => {
 		// A caller gets no answer and repeats a payment with the same key through another VM. The first request may have
 		// run, so the outcome "not-run" would be wrong for the payment.
 		const driver = new EngineDriver(configurationOf(5, {claimsIdempotencyKeys: true}));
--- a/src/common/calls/call-engine.ts
+++ b/src/common/calls/call-engine.ts
@@ -308,7 +308,7 @@
 	}
 
 	/**
-	 * Answers open calls before the process ends, so that no caller just loses its connection. Calls that were never sent
+	 * Refuses open calls before the process ends, so that their callers learn the outcome. Calls that were never sent
 	 * are refused as not run while there is time for it. Sent calls can still be answered until the end and are then refused
 	 * with an unknown outcome. An answer that is being forwarded cannot be refused and is cut.
 	 */
--- a/src/common/calls/call.ts
+++ b/src/common/calls/call.ts
@@ -24,7 +24,7 @@
 	readonly server: BackendServerState;
 	readonly purpose: AttemptPurpose;
 	readonly startedAt: Instant;
-	/** Number of reported calls above the usual number, when the backend server was chosen. */
+	/** Reported calls of other VMs above their usual number when the backend server was chosen, weighted by the report's age. */
 	readonly signal: number;
 	/** Estimates for the backend server when it was chosen. */
 	readonly prospect: Prospect;
@@ -57,9 +57,9 @@
 	readonly serviceState: ServiceState;
 	readonly class: CallClass;
 	readonly arrivedAt: Instant;
-	/** End of the time for a good answer. Earlier if the caller is retrying and has used part of that time already. */
+	/** Time until which an answer meets the latency objective; earlier if the caller is retrying and has spent part of the time. */
 	readonly objectiveAt: Instant;
-	/** Time until which the caller waits for the head of an answer. */
+	/** Time at which the call is refused if no head of an answer has arrived. */
 	readonly deadline: Instant;
 	readonly isIdempotent: boolean;
 	state: CallState;
@@ -74,7 +74,7 @@
 	mayHaveRun: boolean;
 	answering: ForwardedAnswer | undefined;
 	firstStartedAt: Instant | undefined;
-	/** Backend servers that have failed this call. */
+	/** Backend servers on which an attempt of this call failed. */
 	readonly failedOn: Set<BackendServerState>;
 	/** Records of its attempts and the reasons for each choice; undefined unless load probes are on demand. */
 	readonly trail: AttemptRecord[] | undefined;
--- a/src/common/calls/crash-suspects.ts
+++ b/src/common/calls/crash-suspects.ts
@@ -17,8 +17,8 @@
 	readonly suspects: Set<string>;
 	/** True once the end of the process is certain: two connections were reset, it refuses connections, or a new process answers. */
 	isConfirmed: boolean;
-	readonly since: Instant;
-	readonly until: Instant;
+	readonly detectedAt: Instant;
+	readonly expiresAt: Instant;
 };
 
 /** A quarantined fingerprint, with the number of its crashes and the remaining time of the quarantine. */
@@ -34,8 +34,8 @@
 export class CrashSuspects {
 	private readonly _retentionMilliseconds: Milliseconds;
 	private readonly _crashes = new Map<string, Crash>();
-	private readonly _crashesOf = new Map<string, Set<string>>();
-	private readonly _quarantined = new Map<string, {readonly crashes: number; readonly until: Instant}>();
+	private readonly _crashesByFingerprint = new Map<string, Set<string>>();
+	private readonly _quarantined = new Map<string, {readonly crashes: number; readonly expiresAt: Instant}>();
 
 	constructor(retentionMilliseconds: Milliseconds) {
 		this._retentionMilliseconds = retentionMilliseconds;
@@ -48,7 +48,7 @@
 
 	/** Number of suspect fingerprints. */
 	get size(): number {
-		return this._crashesOf.size;
+		return this._crashesByFingerprint.size;
 	}
 
 	/** Adds calls that were in flight at a crash detected by this VM or a peer. Returns true if any of them was new for this crash. */
@@ -63,9 +63,9 @@
 			// A second reset shows that the process died, and not just one connection.
 			crash.isConfirmed ||= crash.suspects.size > 0;
 			crash.suspects.add(fingerprint);
-			const crashes = this._crashesOf.get(fingerprint) ?? new Set();
+			const crashes = this._crashesByFingerprint.get(fingerprint) ?? new Set();
 			crashes.add(crashIdentity);
-			this._crashesOf.set(fingerprint, crashes);
+			this._crashesByFingerprint.set(fingerprint, crashes);
 			isNew = true;
 		}
 
@@ -73,23 +73,23 @@
 		return isNew;
 	}
 
-	/** Confirms that the process of this crash has ended. Ignored if the crash is unknown or too long ago. */
+	/** Confirms that the process of this crash has ended. Ignored if the crash is unknown or its first reset was too long ago. */
 	confirm(crashIdentity: string, now: Instant): void {
 		const crash = this._crashes.get(crashIdentity);
-		if (crash !== undefined && !crash.isConfirmed && now - crash.since <= confirmationMilliseconds) {
+		if (crash !== undefined && !crash.isConfirmed && now - crash.detectedAt <= confirmationMilliseconds) {
 			crash.isConfirmed = true;
 			this._checkSuspects(crash, now);
 		}
 	}
 
-	/** Removes a call from all suspects after it was answered, which proves that it does not crash its backend server. */
+	/** Removes a call from the suspects of all crashes. Called after an answer, which proves that the call is harmless. */
 	clear(fingerprint: string, now: Instant): void {
-		const crashes = this._crashesOf.get(fingerprint);
+		const crashes = this._crashesByFingerprint.get(fingerprint);
 		if (crashes === undefined) {
 			return;
 		}
 
-		this._crashesOf.delete(fingerprint);
+		this._crashesByFingerprint.delete(fingerprint);
 		for (const identity of crashes) {
 			const crash = this._crashes.get(identity);
 			if (crash?.suspects.delete(fingerprint)) {
@@ -99,7 +99,7 @@
 	}
 
 	isSuspect(fingerprint: string): boolean {
-		return this._crashesOf.has(fingerprint);
+		return this._crashesByFingerprint.has(fingerprint);
 	}
 
 	isQuarantined(fingerprint: string, now: Instant): boolean {
@@ -108,7 +108,7 @@
 			return false;
 		}
 
-		if (entry.until > now) {
+		if (entry.expiresAt > now) {
 			return true;
 		}
 
@@ -123,7 +123,7 @@
 	}
 
 	quarantined(now: Instant): Quarantined[] {
-		return Array.from(this._quarantined, ([fingerprint, {crashes, until}]) => ({fingerprint, crashes, remainingMilliseconds: until - now}))
+		return Array.from(this._quarantined, ([fingerprint, {crashes, expiresAt}]) => ({fingerprint, crashes, remainingMilliseconds: expiresAt - now}))
 			.filter(entry => entry.remainingMilliseconds > 0);
 	}
 
@@ -134,8 +134,8 @@
 	}
 
 	private _checkSuspect(fingerprint: string, now: Instant): void {
-		const crashes = Array.from(this._crashesOf.get(fingerprint) ?? [], identity => this._crashes.get(identity))
-			.filter(crash => crash?.isConfirmed === true && crash.until > now);
+		const crashes = Array.from(this._crashesByFingerprint.get(fingerprint) ?? [], identity => this._crashes.get(identity))
+			.filter(crash => crash?.isConfirmed === true && crash.expiresAt > now);
 		if (crashes.length < crashesToQuarantine || this._quarantined.has(fingerprint)) {
 			return;
 		}
@@ -151,12 +151,12 @@
 			this._quarantined.delete(this._quarantined.keys().next().value!);
 		}
 
-		this._quarantined.set(fingerprint, {crashes, until: now + this._retentionMilliseconds});
+		this._quarantined.set(fingerprint, {crashes, expiresAt: now + this._retentionMilliseconds});
 	}
 
 	private _getOrCreateCrash(identity: string, now: Instant): Crash {
 		const known = this._crashes.get(identity);
-		if (known !== undefined && known.until > now) {
+		if (known !== undefined && known.expiresAt > now) {
 			return known;
 		}
 
@@ -167,7 +167,7 @@
 		}
 
 		const crash: Crash = {
-			suspects: new Set(), isConfirmed: false, since: now, until: now + this._retentionMilliseconds,
+			suspects: new Set(), isConfirmed: false, detectedAt: now, expiresAt: now + this._retentionMilliseconds,
 		};
 		this._crashes.set(identity, crash);
 		return crash;
@@ -177,10 +177,10 @@
 		const crash = this._crashes.get(identity);
 		this._crashes.delete(identity);
 		for (const fingerprint of crash?.suspects ?? []) {
-			const crashes = this._crashesOf.get(fingerprint);
+			const crashes = this._crashesByFingerprint.get(fingerprint);
 			crashes?.delete(identity);
 			if (crashes?.size === 0) {
-				this._crashesOf.delete(fingerprint);
+				this._crashesByFingerprint.delete(fingerprint);
 			}
 		}
 	}
--- a/src/common/calls/engine-context.ts
+++ b/src/common/calls/engine-context.ts
@@ -45,7 +45,7 @@
 	readonly settings: CallEngineSettings;
 	readonly timers: TimerQueue<Timer>;
 	readonly suspects: CrashSuspects;
-	/** Services whose queues must be drained after this event, since concurrency or servers changed. */
+	/** Services whose queued calls are started or refused at the end of this event, since capacity or servers changed. */
 	readonly freed: Set<ServiceState>;
 	/** Records of processes that were replaced by a new one in this event; their attempts are still open. */
 	readonly replaced: BackendServerState[];
--- a/src/common/calls/health-chart.ts
+++ b/src/common/calls/health-chart.ts
@@ -24,19 +24,19 @@
 		| 'RETURN';
 
 /** State of a backend server without any answer or report. */
-export const initialHealth: Health = chartState(chart.initial);
+export const initialHealth: Health = toHealth(chart.initial);
 
-const table = new Map<Health, ReadonlyMap<string, Health>>(Object.entries(chart.states).map(([state, {on}]) => [
-	chartState(state),
-	new Map(Object.entries(on).map(([event, target]) => [event, chartState(target)])),
+const transitionTable = new Map<Health, ReadonlyMap<string, Health>>(Object.entries(chart.states).map(([state, {on}]) => [
+	toHealth(state),
+	new Map(Object.entries(on).map(([event, target]) => [event, toHealth(target)])),
 ]));
 
 /** Returns the next state. An event that the state does not handle leaves it unchanged. */
 export function nextHealth(state: Health, event: HealthEvent): Health {
-	return table.get(state)?.get(event) ?? state;
+	return transitionTable.get(state)?.get(event) ?? state;
 }
 
-function chartState(name: string): Health {
+function toHealth(name: string): Health {
 	return isHealth(name) ? name : 'warming';
 }
 
--- a/src/common/calls/health-judge.ts
+++ b/src/common/calls/health-judge.ts
@@ -51,7 +51,7 @@
 		this._recordFailure(attempt, now);
 	}
 
-	/** Checks the attempts that are about to be cancelled in favour of the winner: each of them may have been silent. */
+	/** Checks for silence in the attempts that are about to be cancelled because the winner was answered. */
 	beforeCancel(call: Call, winner: Attempt, now: Instant): void {
 		for (const attempt of call.attempts) {
 			if (attempt !== winner) {
@@ -98,8 +98,8 @@
 	private _recordFailure(attempt: Attempt, now: Instant): void {
 		const {server} = attempt;
 		server.onFailure(now);
-		// Failures alone do not eject a backend server. They raise its expected answer time, which moves calls away gradually
-		// and leaves the placement even when all backend servers fail.
+		// Failures alone do not eject a backend server. They raise its expected answer time, so calls move away gradually. When
+		// all backend servers fail, none of them loses more calls than another.
 		if (server.health === 'probing' || server.health === 'doubted') {
 			server.eject('FAILING', now);
 		}
--- a/src/common/calls/process-history.ts
+++ b/src/common/calls/process-history.ts
@@ -1,10 +1,10 @@
-/** Determines whether a report or leaving sign concerns the current process of a backend server, a gone one or a new one. */
+/** Determines whether a report or a leaving sign concerns the current process of a backend server, a previous one or a new one. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 
-/** Number of gone processes that are remembered, so that a late answer or leaving sign of one does not count as a change. */
+/** Number of previous processes that are stored, so that a late answer or leaving sign of one does not count as a change. */
 const maxGoneInstances = 4;
 
-/** Maximum delay of a gone process's last reports; longer than an update takes through the fleet. */
+/** Maximum delay of the last reports of a process that has ended; longer than an update takes through the fleet. */
 const maxReportDelayMilliseconds: Milliseconds = 1000;
 
 /** What a report reveals about the process of a backend server. */
@@ -12,7 +12,7 @@
 
 /**
  * Decides which leaving signs apply. A sign for a process that this VM has not seen yet applies: if it were taken for an old
- * process, the leaving one would get calls until it ends. A sign for a process that is known to be gone is ignored:
+ * process, the leaving one would get calls until it ends. A sign for a process that is known to have ended is ignored:
  * otherwise a backend server that returned would never get calls again.
  */
 export class ProcessHistory {
@@ -26,7 +26,7 @@
 		return this._currentInstance;
 	}
 
-	/** Applies a leaving sign. Returns false if it concerns a gone process and is ignored; `instance` undefined = the current process. */
+	/** Applies a leaving sign. Returns false if it concerns a process that has ended and is ignored; `instance` undefined = the current process. */
 	takeSign(instance: string | undefined, now: Instant): boolean {
 		if (instance !== undefined && this._goneInstances.includes(instance)) {
 			return false;
--- a/src/common/calls/process-restart.test.ts
+++ b/src/common/calls/process-restart.test.ts
@@ -46,7 +46,7 @@
 	});
 
 	// Guards an idempotent call against waiting for a process that has ended.
-	it('gets the reads of the previous process as hedges at once', () => {
+	it('gets hedges of the reads of the previous process at once', () => {
 		const driver = new EngineDriver(configurationStartedAt(1000, 1));
 		for (let call = 10; call < 80; call++) {
 			driver.answer(driver.start(requestOf(call, {method: 'GET', bodyBytes: 0}))!.attemptId);
--- a/src/common/calls/retrying-callers.ts
+++ b/src/common/calls/retrying-callers.ts
@@ -27,7 +27,7 @@
  * such calls were answered in time.
  */
 export class RetryingCallers {
-	private readonly _samples = new Map<string, Milliseconds[]>();
+	private readonly _timeoutsByRule = new Map<string, Milliseconds[]>();
 
 	/** Estimated milliseconds that a caller with this remaining timeout has spent on earlier tries; 0 if it does not look like a retry. */
 	spentOf(timeout: Milliseconds | undefined, rule: CallRule | undefined): Milliseconds {
@@ -40,17 +40,17 @@
 	}
 
 	private _usualTimeout(timeout: Milliseconds, key: string): Milliseconds | undefined {
-		if (this._samples.size > maxRules) {
-			this._samples.clear();
+		if (this._timeoutsByRule.size > maxRules) {
+			this._timeoutsByRule.clear();
 		}
 
-		const samples = this._samples.get(key) ?? [];
-		this._samples.set(key, samples);
-		samples.push(timeout);
-		if (samples.length > maxSamples) {
-			samples.shift();
+		const timeouts = this._timeoutsByRule.get(key) ?? [];
+		this._timeoutsByRule.set(key, timeouts);
+		timeouts.push(timeout);
+		if (timeouts.length > maxSamples) {
+			timeouts.shift();
 		}
 
-		return samples.length < minSamples ? undefined : samples.toSorted((one, other) => one - other)[Math.floor(usualTimeoutQuantile * (samples.length - 1))];
+		return timeouts.length < minSamples ? undefined : timeouts.toSorted((one, other) => one - other)[Math.floor(usualTimeoutQuantile * (timeouts.length - 1))];
 	}
 }
--- a/src/common/calls/service-directory.ts
+++ b/src/common/calls/service-directory.ts
@@ -1,4 +1,4 @@
-/** The declared services and backend servers, the load reports about them, and the scheduling of load probes. */
+/** The declared services and backend servers, their load reports, and the schedule of load probes. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {BackendServerState} from './backend-server-state.ts';
 import {CrashSuspects} from './crash-suspects.ts';
--- a/src/common/calls/service-state.ts
+++ b/src/common/calls/service-state.ts
@@ -114,11 +114,11 @@
 		this._serversByDataCentre = new Map();
 		for (const server of servers) {
 			const {dataCentre} = server.declared;
-			const there = this._serversByDataCentre.get(dataCentre);
-			if (there === undefined) {
+			const ofDataCentre = this._serversByDataCentre.get(dataCentre);
+			if (ofDataCentre === undefined) {
 				this._serversByDataCentre.set(dataCentre, [server]);
 			} else {
-				there.push(server);
+				ofDataCentre.push(server);
 			}
 		}
 
--- a/src/common/calls/types.ts
+++ b/src/common/calls/types.ts
@@ -135,6 +135,7 @@
 			/** Bytes of the answer's body that were forwarded to the caller so far. */
 			readonly bytesPassedOn: number;
 		}
+	/** A load probe has ended; without an answer `report` is undefined. */
 		| {readonly type: 'measured'; readonly measurementId: MeasurementId; readonly report: LoadReport | undefined}
 		| {readonly type: 'key-claimed'; readonly callId: CallId; readonly claim: KeyClaim}
 	/** A new version of the declared resources is in force. */
@@ -298,6 +299,7 @@
 		/** Time after which the caller should retry; undefined if a retry does not help. */
 		readonly retryAfterMilliseconds: Milliseconds | undefined;
 	}
+	/** Send a load probe. */
 	| {
 		readonly type: 'measure';
 		readonly measurementId: MeasurementId;
--- a/src/common/calls/wake-guard.ts
+++ b/src/common/calls/wake-guard.ts
@@ -29,7 +29,7 @@
 export class WakeGuard implements CallEngine {
 	private readonly _engine: CallEngine;
 	private readonly _heldEvents: CallEvent[] = [];
-	private _lastAt: Instant | undefined;
+	private _lastEventAt: Instant | undefined;
 	private _isHolding = false;
 	private _holdUntil: Instant = Number.NEGATIVE_INFINITY;
 
@@ -38,8 +38,8 @@
 	}
 
 	handle(event: CallEvent, now: Instant): readonly CallEffect[] {
-		const hasPaused = this._lastAt !== undefined && now - this._lastAt > pauseMilliseconds;
-		this._lastAt = now;
+		const hasPaused = this._lastEventAt !== undefined && now - this._lastEventAt > pauseMilliseconds;
+		this._lastEventAt = now;
 		if (hasPaused) {
 			this._holdUntil = now + catchUpMilliseconds;
 			this._isHolding = true;
@@ -57,12 +57,12 @@
 	}
 
 	nextWakeUp(): Instant {
-		const lastAt = this._lastAt ?? 0;
-		if (this._heldEvents.length > 0 || lastAt < this._holdUntil) {
-			return Math.max(lastAt, this._holdUntil);
+		const lastEventAt = this._lastEventAt ?? 0;
+		if (this._heldEvents.length > 0 || lastEventAt < this._holdUntil) {
+			return Math.max(lastEventAt, this._holdUntil);
 		}
 
-		return Math.min(this._engine.nextWakeUp() ?? Number.POSITIVE_INFINITY, lastAt + maxQuietMilliseconds);
+		return Math.min(this._engine.nextWakeUp() ?? Number.POSITIVE_INFINITY, lastEventAt + maxQuietMilliseconds);
 	}
 
 	load(): CallLoad {
--- a/src/proof/guards/guards.ts
+++ b/src/proof/guards/guards.ts
@@ -28,7 +28,7 @@
 	{
 		name: 'a reset is no proof of not run',
 		file: `${calls}/attempt-runner.ts`,
-		text: 'call.mayHaveRun ||= !hasProof;',
+		text: 'call.mayHaveRun ||= !isProvenNotRun;',
 		replacement: '',
 		tests: callTests,
 	},
