--- a/src/common/calls/retry-budget.test.ts
+++ b/src/common/calls/retry-budget.test.ts
@@ -1,8 +1,8 @@
 import {expect} from 'earl';
 import {RetryBudget} from './retry-budget.ts';
 
-/** Second attempts that one VM of so many makes when a fault begins after a quiet hour. */
-function atOnce(burst: number, vmCount: number): number {
+/** Number of retries that one of `vmCount` VMs may start at once when a fault begins after 1000 calls without failures. */
+function countBurstAttempts(burst: number, vmCount: number): number {
 	const budget = new RetryBudget();
 	budget.shareBurst(burst, vmCount);
 	for (let call = 0; call < 1000; call++) {
@@ -17,13 +17,13 @@
 	return attempts;
 }
 
-describe('the fleet\'s burst of retries', () => {
-	// Guards the retry budget against the sum of what each VM of a large fleet has saved up.
-	it('is shared out, so that all VMs together stay within it', () => {
-		expect([14 * atOnce(58, 14) <= 58, 116 * atOnce(186, 116) <= 186, atOnce(58, 14) >= 3]).toEqual([true, true, true]);
+describe('retry burst of the fleet', () => {
+	// Guards against a retry storm from the tokens that all VMs of a large fleet have saved.
+	it('is divided among the VMs so that their total stays within it', () => {
+		expect([14 * countBurstAttempts(58, 14) <= 58, 116 * countBurstAttempts(186, 116) <= 186, countBurstAttempts(58, 14) >= 3]).toEqual([true, true, true]);
 	});
 
-	it('leaves each VM one second attempt', () => {
-		expect(atOnce(60, 1000)).toEqual(1);
+	it('allows each VM at least one retry', () => {
+		expect(countBurstAttempts(60, 1000)).toEqual(1);
 	});
 });
