--- a/src/common/calls/admission.ts
+++ b/src/common/calls/admission.ts
@@ -12,13 +12,13 @@
  * Part of its objective that a call waits at most where measuring is on demand. A caller that is told to come back within
  * a third of its objective can still be answered in time; one that is held longer cannot.
  */
-const longestWaitPart = 0.33;
+const maxWaitFraction = 0.33;
 
 /** Calls that one look for room may take out of the queue: each asks several backend servers. */
-const callsALook = 2;
+const callsPerQueueCheck = 2;
 
 /** Pause between two looks for room: an eighth of the shortest usual answer, and ten measuring calls at most. */
-const queueLookMilliseconds: Milliseconds = 20;
+const queueCheckMilliseconds: Milliseconds = 20;
 
 /**
  * Admits within the service's concurrency limit; beyond it calls wait here, where they can still be
@@ -50,7 +50,7 @@
 		}
 
 		service.retryBudget.deposit(service.declared.retryShare);
-		if (service.queue.size === 0 && hasConcurrency(service) && this._runner.start(call, 'first', now)) {
+		if (service.queue.size === 0 && hasFreeConcurrency(service) && this._runner.start(call, 'first', now)) {
 			return;
 		}
 
@@ -63,9 +63,9 @@
 			this._refuseAll(service, now);
 		}
 
-		let left = service.isMeasuredOnDemand ? callsALook : Infinity;
-		while (service.queue.size > 0 && hasConcurrency(service) && left > 0) {
-			left--;
+		let remainingStarts = service.isMeasuredOnDemand ? callsPerQueueCheck : Infinity;
+		while (service.queue.size > 0 && hasFreeConcurrency(service) && remainingStarts > 0) {
+			remainingStarts--;
 			const call = service.queue.take(caller => this._mayStart(service, caller)) ?? service.queue.take(() => true);
 			if (call === undefined) {
 				break;
@@ -80,7 +80,7 @@
 		if (service.queue.size === 0) {
 			service.standingSince = undefined;
 		} else {
-			this._lookAgain(service, now);
+			this._scheduleQueueCheck(service, now);
 		}
 	}
 
@@ -127,7 +127,7 @@
 			return;
 		}
 
-		if (this._isTooLong(call, now)) {
+		if (this._isBacklogTooLong(call, now)) {
 			this._endings.refuse(call, 'overloaded', now);
 			return;
 		}
@@ -135,7 +135,7 @@
 		call.state = 'queued';
 		service.queue.add(call);
 		service.standingSince ??= now;
-		this._lookAgain(service, now);
+		this._scheduleQueueCheck(service, now);
 		if (service.queue.size > service.declared.queueLimit) {
 			this._endings.refuse(service.queue.latestOfGreediest()!, 'queue-full', now);
 		}
@@ -146,18 +146,18 @@
 	}
 
 	/** Room at backend servers that other VMs share comes without an event here: it is looked for by the clock. */
-	private _lookAgain(service: ServiceState, now: Instant): void {
+	private _scheduleQueueCheck(service: ServiceState, now: Instant): void {
 		if (service.isMeasuredOnDemand && !service.isLookPlanned) {
 			service.isLookPlanned = true;
-			this._context.timers.add(now + queueLookMilliseconds, {type: 'queue-look', service});
+			this._context.timers.add(now + queueCheckMilliseconds, {type: 'queue-look', service});
 		}
 	}
 
 	/** Whether the backlog says that a call's turn would come too late. */
-	private _isTooLong(call: Call, now: Instant): boolean {
+	private _isBacklogTooLong(call: Call, now: Instant): boolean {
 		const service = call.serviceState;
 		if (service.isMeasuredOnDemand) {
-			return service.queue.size >= callsALook * (latestStart(call) - now) / queueLookMilliseconds;
+			return service.queue.size >= callsPerQueueCheck * (latestStart(call) - now) / queueCheckMilliseconds;
 		}
 
 		const wait = service.waitFor(service.queue.aheadOf(call.request.caller) + 1);
@@ -181,11 +181,11 @@
  * Where measuring is on demand, the reports of the backend servers themselves say whether there is room: the limit that
  * is learnt from their queues would only know it later.
  */
-function hasConcurrency(service: ServiceState): boolean {
+function hasFreeConcurrency(service: ServiceState): boolean {
 	return service.isMeasuredOnDemand || service.inFlight < service.limit.value;
 }
 
 /** Started later, a call would not be answered in time; where measuring is on demand, it would miss its objective. */
 function latestStart(call: Call): Instant {
-	return call.serviceState.isMeasuredOnDemand ? call.arrivedAt + (longestWaitPart * objectiveOf(call)) : call.deadline - call.class.answerMean;
+	return call.serviceState.isMeasuredOnDemand ? call.arrivedAt + (maxWaitFraction * objectiveOf(call)) : call.deadline - call.class.answerMean;
 }
--- a/src/common/calls/answer-learning.ts
+++ b/src/common/calls/answer-learning.ts
@@ -5,11 +5,11 @@
 import {type LoadReport} from './types.ts';
 
 /** Work time, against the usual, up to which a backend server's VM counts as quiet. */
-const quietFactor = 1.2;
+const maxQuietWorkTimeFactor = 1.2;
 
 /** Nothing slows the backend server down: neither neighbours nor its own load. */
 function isQuiet({workTimeFactor = 1, inFlight, queued, slots}: LoadReport): boolean {
-	return workTimeFactor <= quietFactor && inFlight + queued <= roomyPart * slots;
+	return workTimeFactor <= maxQuietWorkTimeFactor && inFlight + queued <= roomyPart * slots;
 }
 
 /** Takes in an answer that is no server error. */
--- a/src/common/calls/backend-server-state.ts
+++ b/src/common/calls/backend-server-state.ts
@@ -23,7 +23,7 @@
  * A backend server that answered faster than the mean looks this much shorter at best: proven ones are
  * preferred to unknown ones while there is little load, but none draws all calls for ever.
  */
-const provenSlowness = 0.6;
+const minSlowness = 0.6;
 
 /** Span over which attempts at a warming backend server are counted. */
 const rateWindowMilliseconds: Milliseconds = 1000;
@@ -66,26 +66,26 @@
 	private readonly _processes = new ProcessHistory();
 	private _health: Health = initialHealth;
 	private _healthSince: Instant;
-	private _ownAtReport = 0;
+	private _ownCallsAtReport = 0;
 	private _slowness = 1;
-	private _slownessAt: Instant = 0;
-	private _failing = 0;
-	private _failingAt: Instant = 0;
-	private _shedding = 0;
-	private _sheddingAt: Instant = 0;
+	private _slownessUpdatedAt: Instant = 0;
+	private _failureRate = 0;
+	private _failureRateUpdatedAt: Instant = 0;
+	private _shedRate = 0;
+	private _shedRateUpdatedAt: Instant = 0;
 	private _failuresInRow = 0;
 	private _ejections = 0;
 	private _ejectedUntil: Instant = 0;
 	/** When the latest attempts started, oldest first; kept only while they may count against a rate. */
-	private _starts: Instant[] = [];
+	private _recentStarts: Instant[] = [];
 
 	/** `isKnown` = it was there before this VM began to serve, so that it is not cold for being new here. */
-	constructor(identity: BackendServerIdentity, declared: BackendServerInForce, tuning: CallTuning, now: Instant, isKnown = false) {
+	constructor(identity: BackendServerIdentity, declared: BackendServerInForce, tuning: CallTuning, now: Instant, existedBefore = false) {
 		this.identity = identity;
 		this.declared = declared;
 		this._tuning = tuning;
 		this.warmUp = new WarmUp(declared.warmUntil);
-		this._healthSince = isKnown ? -Infinity : now;
+		this._healthSince = existedBefore ? -Infinity : now;
 	}
 
 	get health(): Health {
@@ -121,7 +121,7 @@
 	get reportedLoad(): number {
 		return this.report === undefined
 			? this.attempts.size
-			: this.report.inFlight + this.report.queued + Math.max(0, this.attempts.size - this._ownAtReport);
+			: this.report.inFlight + this.report.queued + Math.max(0, this.attempts.size - this._ownCallsAtReport);
 	}
 
 	/** Brings the health up to the present and gives it. */
@@ -142,42 +142,42 @@
 			return slots;
 		}
 
-		const warmth = (now - this._healthSince) / this._warmingMilliseconds;
-		return Math.max(1, slots * Math.min(1, Math.max(this._tuning.warmingStart, warmth)));
+		const warmUpProgress = (now - this._healthSince) / this._warmingMilliseconds;
+		return Math.max(1, slots * Math.min(1, Math.max(this._tuning.warmingStart, warmUpProgress)));
 	}
 
 	/** Answer time against the mean of the class; remembered less and less, so that a recovered one is tried again. */
 	slownessAt(now: Instant): number {
-		const memory = Math.exp((this._slownessAt - now) / this._tuning.slownessMemoryMilliseconds);
-		return Math.max(provenSlowness, 1 + ((this._slowness - 1) * memory), this._overdueSlowness(now));
+		const decay = Math.exp((this._slownessUpdatedAt - now) / this._tuning.slownessMemoryMilliseconds);
+		return Math.max(minSlowness, 1 + ((this._slowness - 1) * decay), this._overdueSlowness(now));
 	}
 
 	/** Part of its latest calls that it failed. */
 	failingAt(now: Instant): number {
-		return this._failing === 0 ? 0 : this._failing * Math.exp((this._failingAt - now) / this._tuning.failureMemoryMilliseconds);
+		return this._failureRate === 0 ? 0 : this._failureRate * Math.exp((this._failureRateUpdatedAt - now) / this._tuning.failureMemoryMilliseconds);
 	}
 
 	/** Part of its latest attempts that it turned away unrun. */
 	sheddingAt(now: Instant): number {
-		return this._shedding === 0 ? 0 : this._shedding * Math.exp((this._sheddingAt - now) / this._tuning.failureMemoryMilliseconds);
+		return this._shedRate === 0 ? 0 : this._shedRate * Math.exp((this._shedRateUpdatedAt - now) / this._tuning.failureMemoryMilliseconds);
 	}
 
 	/** An attempt of this VM starts. */
 	noteStart(now: Instant): void {
-		this._starts = this._starts.filter(at => now - at < rateWindowMilliseconds);
-		this._starts.push(now);
+		this._recentStarts = this._recentStarts.filter(at => now - at < rateWindowMilliseconds);
+		this._recentStarts.push(now);
 	}
 
 	/** Attempts of this VM that started within the last second. */
 	startsWithinSecond(now: Instant): number {
-		return this._starts.filter(at => now - at < rateWindowMilliseconds).length;
+		return this._recentStarts.filter(at => now - at < rateWindowMilliseconds).length;
 	}
 
 	/** It took an attempt, or turned it away unrun. */
 	noteTaken(isTaken: boolean, now: Instant): void {
-		const before = this.sheddingAt(now);
-		this._shedding = before + (((isTaken ? 0 : 1) - before) * slownessGain);
-		this._sheddingAt = now;
+		const previous = this.sheddingAt(now);
+		this._shedRate = previous + (((isTaken ? 0 : 1) - previous) * slownessGain);
+		this._shedRateUpdatedAt = now;
 	}
 
 	/**
@@ -190,7 +190,7 @@
 			return 0;
 		}
 
-		const others = Math.max(0, this.report.inFlight + this.report.queued - this._ownAtReport);
+		const others = Math.max(0, this.report.inFlight + this.report.queued - this._ownCallsAtReport);
 		const lifetime = this._tuning.reportTrust * holdMean * (1 + (this.report.queued / this.report.slots));
 		return (others - usual) * Math.exp((this.reportedAt - now) / lifetime);
 	}
@@ -198,20 +198,20 @@
 	/** An attempt was given up unanswered: it would have taken at least this long. */
 	onGivenUp(time: Milliseconds, classMean: Milliseconds, now: Instant): void {
 		const ratio = time / Math.max(classMean, 0.01);
-		if (ratio > this._rememberedSlowness(now)) {
-			this._noteRatio(ratio, now);
+		if (ratio > this._decayedSlowness(now)) {
+			this._recordAnswerTimeRatio(ratio, now);
 		}
 	}
 
 	/** Calls of other VMs that the latest report counted. */
 	get reportedOthers(): number | undefined {
-		return this.report === undefined ? undefined : Math.max(0, this.report.inFlight + this.report.queued - this._ownAtReport);
+		return this.report === undefined ? undefined : Math.max(0, this.report.inFlight + this.report.queued - this._ownCallsAtReport);
 	}
 
 	onAnswer(time: Milliseconds, classMean: Milliseconds, now: Instant): void {
-		this._noteRatio(time / Math.max(classMean, 0.01), now);
+		this._recordAnswerTimeRatio(time / Math.max(classMean, 0.01), now);
 		this.lastAnswerAt = now;
-		this._noteFailure(0, now);
+		this._recordOutcome(0, now);
 		this._failuresInRow = 0;
 		this.move('ANSWERED', now);
 		if (this._health === 'active') {
@@ -222,7 +222,7 @@
 	/** An attempt failed, or was answered with a server error, through the backend server's fault. */
 	onFailure(now: Instant): void {
 		this._failuresInRow++;
-		this._noteFailure(1, now);
+		this._recordOutcome(1, now);
 	}
 
 	/** Takes it out for a while; the time doubles with each probe that fails. */
@@ -256,14 +256,14 @@
 			return nothingChanged;
 		}
 
-		const former = this._processes.present;
+		const previousInstance = this._processes.present;
 		const change = this._processes.takeReport(report.instance, madeAt);
 		if (change === 'of-past') {
 			return nothingChanged;
 		}
 
 		if (change !== 'present') {
-			this._forgetProcess(now);
+			this._resetForNewProcess(now);
 		}
 
 		const beganToLeave = report.isLeaving && this._health !== 'leaving';
@@ -277,14 +277,14 @@
 
 		this.report = report;
 		this.reportedAt = madeAt;
-		this._ownAtReport = this.attempts.size;
-		return {isTaken: true, goneInstance: change === 'replaced' ? former : undefined, beganToLeave};
+		this._ownCallsAtReport = this.attempts.size;
+		return {isTaken: true, goneInstance: change === 'replaced' ? previousInstance : undefined, beganToLeave};
 	}
 
 	/** What was learnt of a process that is gone binds nothing of the new one: not its leaving, load or failures. */
-	private _forgetProcess(now: Instant): void {
+	private _resetForNewProcess(now: Instant): void {
 		this._slowness = 1;
-		this._failing = 0;
+		this._failureRate = 0;
 		this._failuresInRow = 0;
 		this.rateLimit = new RateLimit();
 		this.move('RETURN', now);
@@ -294,20 +294,20 @@
 		return this.declared.warmingMilliseconds ?? this._tuning.warmingMilliseconds;
 	}
 
-	private _noteRatio(ratio: number, now: Instant): void {
-		const before = this._rememberedSlowness(now);
-		this._slowness = before + ((ratio - before) * slownessGain);
-		this._slownessAt = now;
+	private _recordAnswerTimeRatio(ratio: number, now: Instant): void {
+		const previous = this._decayedSlowness(now);
+		this._slowness = previous + ((ratio - previous) * slownessGain);
+		this._slownessUpdatedAt = now;
 	}
 
-	private _rememberedSlowness(now: Instant): number {
-		return 1 + ((this._slowness - 1) * Math.exp((this._slownessAt - now) / this._tuning.slownessMemoryMilliseconds));
+	private _decayedSlowness(now: Instant): number {
+		return 1 + ((this._slowness - 1) * Math.exp((this._slownessUpdatedAt - now) / this._tuning.slownessMemoryMilliseconds));
 	}
 
-	private _noteFailure(value: number, now: Instant): void {
-		const before = this.failingAt(now);
-		this._failing = before + ((value - before) * failureGain);
-		this._failingAt = now;
+	private _recordOutcome(value: number, now: Instant): void {
+		const previous = this.failingAt(now);
+		this._failureRate = previous + ((value - previous) * failureGain);
+		this._failureRateUpdatedAt = now;
 	}
 
 	/** The oldest attempt without an answer tells of a slow phase before any answer can. */
--- a/src/common/calls/call-classes.ts
+++ b/src/common/calls/call-classes.ts
@@ -4,10 +4,10 @@
 import {type CallRequest} from './types.ts';
 
 /** Paths whose pattern is remembered. */
-const rememberedPaths = 512;
+const maxCachedPaths = 512;
 
 /** Samples over which means and quantiles are taken. */
-const memory = 500;
+const memorySamples = 500;
 
 /** Parts of a path that name one thing and not a kind of thing: with a digit, or long. */
 const identifierPattern = /^(?:.*\d.*|.{24,})$/v;
@@ -25,27 +25,27 @@
 	workMean: Milliseconds;
 	/** Mean size of a whole answer in bytes. */
 	answerBytesMean = 0;
-	readonly answerTimes = new DecayingHistogram(memory);
+	readonly answerTimes = new DecayingHistogram(memorySamples);
 	private _count = 0;
 	private _workCount = 0;
 
 	/** Before the first answer the mean of the whole service stands in. */
-	constructor(guess: Milliseconds) {
-		this.answerMean = guess;
-		this.holdMean = guess;
-		this.workMean = guess;
+	constructor(initialMilliseconds: Milliseconds) {
+		this.answerMean = initialMilliseconds;
+		this.holdMean = initialMilliseconds;
+		this.workMean = initialMilliseconds;
 	}
 
 	addAnswer(time: Milliseconds): void {
 		this._count++;
-		this.answerMean += (time - this.answerMean) / Math.min(this._count, memory);
+		this.answerMean += (time - this.answerMean) / Math.min(this._count, memorySamples);
 		this.answerTimes.add(time);
 	}
 
 	/** An answer of a backend server with free slots and a quiet VM. */
 	addWork(time: Milliseconds): void {
 		this._workCount++;
-		this.workMean += (time - this.workMean) / Math.min(this._workCount, memory);
+		this.workMean += (time - this.workMean) / Math.min(this._workCount, memorySamples);
 	}
 
 	/** An answer has told how long the work takes. */
@@ -54,11 +54,11 @@
 	}
 
 	addBytes(bytes: number): void {
-		this.answerBytesMean += (bytes - this.answerBytesMean) / Math.min(Math.max(1, this._count), memory);
+		this.answerBytesMean += (bytes - this.answerBytesMean) / Math.min(Math.max(1, this._count), memorySamples);
 	}
 
 	addHold(time: Milliseconds): void {
-		this.holdMean += (time - this.holdMean) / Math.min(Math.max(1, this._count), memory);
+		this.holdMean += (time - this.holdMean) / Math.min(Math.max(1, this._count), memorySamples);
 	}
 }
 
@@ -69,12 +69,12 @@
 	private readonly _routes = new Map<string, CallClass>();
 	private readonly _patterns = new Map<string, string>();
 	private readonly _all: CallClass;
-	private readonly _most: number;
+	private readonly _maxClasses: number;
 
 	/** `most` = most classes kept: paths are made by callers, so their number must not grow with them. */
-	constructor(guess: Milliseconds, most: number) {
-		this._all = new CallClass(guess);
-		this._most = most;
+	constructor(initialMilliseconds: Milliseconds, maxClasses: number) {
+		this._all = new CallClass(initialMilliseconds);
+		this._maxClasses = maxClasses;
 	}
 
 	/** Mean over all calls of the service. */
@@ -85,20 +85,20 @@
 	/** The class of a call; calls without a route beyond the number of classes share the service's mean. */
 	classOf(request: CallRequest): CallClass {
 		if (request.rule !== undefined) {
-			return this._ofRoute(`${request.method} ${request.rule.route}`);
+			return this._classOfRoute(`${request.method} ${request.rule.route}`);
 		}
 
 		const key = request.path === undefined ? request.method : `${request.method} ${this._patternOf(request.path)}`;
-		const known = this._classes.get(key);
-		if (known !== undefined) {
-			return known;
+		const existing = this._classes.get(key);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		if (this._classes.size >= this._most) {
+		if (this._classes.size >= this._maxClasses) {
 			return this._all;
 		}
 
-		return this._make(this._classes, key);
+		return this._create(this._classes, key);
 	}
 
 	/**
@@ -106,35 +106,35 @@
 	 * as too long for its timeout while every backend server is idle, and never teach anything else. It starts knowing
 	 * nothing. Operators name routes and replace them, so of too many those that were not called for longest are forgotten.
 	 */
-	private _ofRoute(key: string): CallClass {
-		const known = this._routes.get(key);
-		if (known === undefined) {
-			if (this._routes.size >= this._most) {
+	private _classOfRoute(key: string): CallClass {
+		const existing = this._routes.get(key);
+		if (existing === undefined) {
+			if (this._routes.size >= this._maxClasses) {
 				const [oldest] = this._routes.keys();
 				this._routes.delete(oldest!);
 			}
 
-			return this._make(this._routes, key);
+			return this._create(this._routes, key);
 		}
 
 		this._routes.delete(key);
-		this._routes.set(key, known);
-		return known;
+		this._routes.set(key, existing);
+		return existing;
 	}
 
-	private _make(classes: Map<string, CallClass>, key: string): CallClass {
-		const made = new CallClass(this._all.answerMean);
-		classes.set(key, made);
-		return made;
+	private _create(classes: Map<string, CallClass>, key: string): CallClass {
+		const created = new CallClass(this._all.answerMean);
+		classes.set(key, created);
+		return created;
 	}
 
 	private _patternOf(path: string): string {
-		const remembered = this._patterns.get(path);
-		if (remembered !== undefined) {
-			return remembered;
+		const cached = this._patterns.get(path);
+		if (cached !== undefined) {
+			return cached;
 		}
 
-		if (this._patterns.size >= rememberedPaths) {
+		if (this._patterns.size >= maxCachedPaths) {
 			this._patterns.clear();
 		}
 
--- a/src/common/calls/caller-queue.ts
+++ b/src/common/calls/caller-queue.ts
@@ -23,7 +23,7 @@
 export class FairCallQueue implements CallQueue {
 	private readonly _queues = new Map<string, Call[]>();
 	/** Callers with waiting calls; the first is next. */
-	private _turns: string[] = [];
+	private _callerOrder: string[] = [];
 	private _size = 0;
 
 	get size(): number {
@@ -46,7 +46,7 @@
 		this._size++;
 		if (queue === undefined) {
 			this._queues.set(caller, [call]);
-			this._turns.push(caller);
+			this._callerOrder.push(caller);
 			return;
 		}
 
@@ -54,19 +54,19 @@
 	}
 
 	take(mayStart: (caller: string) => boolean): Call | undefined {
-		const index = this._turns.findIndex(caller => mayStart(caller));
+		const index = this._callerOrder.findIndex(caller => mayStart(caller));
 		if (index === -1) {
 			return undefined;
 		}
 
-		const [caller] = this._turns.splice(index, 1);
+		const [caller] = this._callerOrder.splice(index, 1);
 		const queue = this._queues.get(caller!)!;
 		const call = queue.shift()!;
 		this._size--;
 		if (queue.length === 0) {
 			this._queues.delete(caller!);
 		} else {
-			this._turns.push(caller!);
+			this._callerOrder.push(caller!);
 		}
 
 		return call;
@@ -84,19 +84,19 @@
 		this._size--;
 		if (queue.length === 0) {
 			this._queues.delete(caller);
-			this._turns = this._turns.filter(one => one !== caller);
+			this._callerOrder = this._callerOrder.filter(one => one !== caller);
 		}
 	}
 
 	latestOfGreediest(): Call | undefined {
-		let greediest: Call[] | undefined;
+		let largest: Call[] | undefined;
 		for (const queue of this._queues.values()) {
-			if (greediest === undefined || queue.length > greediest.length) {
-				greediest = queue;
+			if (largest === undefined || queue.length > largest.length) {
+				largest = queue;
 			}
 		}
 
-		return greediest?.at(-1);
+		return largest?.at(-1);
 	}
 }
 
--- a/src/common/calls/concurrency-limit.ts
+++ b/src/common/calls/concurrency-limit.ts
@@ -30,25 +30,25 @@
 };
 
 /** Part of the limit that must be in use before it grows beyond its resting value. */
-const usedPart = 0.8;
+const minUsedFraction = 0.8;
 
 /** Largest part that one answer takes off the limit: one slow backend server must not close it. */
-const largestCut = 0.01;
+const maxDecreaseFraction = 0.01;
 
 /** In calm the limit rests at this many times the VM's even part of the slots: callers' choice of VMs is uneven. */
-const restFactor = 4;
+const baselineFactor = 4;
 
 /** How fast it comes back to rest, for each answer without congestion. */
-const recovery = 0.25;
+const recoveryStep = 0.25;
 
 /** Part of a new answer in the mean queue: one backend server's empty queue is no end of congestion. */
-const smoothing = 0.05;
+const queueSmoothing = 0.05;
 
 /** Congestion shorter than this is a rush: it is over before its queue costs a caller its deadline. */
-const rushMilliseconds: Milliseconds = 100;
+const maxBurstMilliseconds: Milliseconds = 100;
 
 /** Queued calls a slot that a rush may bring: three answer times of waiting. */
-const rushTarget = 3;
+const burstTarget = 3;
 
 /**
  * Additive increase, multiplicative decrease on the queue that answers report. Made for a load above
@@ -60,11 +60,11 @@
 export class AdaptiveConcurrencyLimit implements ConcurrencyLimit {
 	private _target: number;
 	private _value = 1;
-	private _least = 1;
-	private _rest = 1;
-	private _most = Infinity;
+	private _min = 1;
+	private _baseline = 1;
+	private _max = Infinity;
 	private _hasBounds = false;
-	private _smoothed = 0;
+	private _meanQueuedPerSlot = 0;
 	private _congestedSince: Instant | undefined;
 
 	constructor(target: number) {
@@ -80,13 +80,13 @@
 	}
 
 	setBounds(bounds: LimitBounds): void {
-		const even = bounds.slots / Math.max(1, bounds.vmCount);
-		this._least = Math.max(1, even / 4);
-		this._rest = Math.max(1, restFactor * even);
+		const evenShare = bounds.slots / Math.max(1, bounds.vmCount);
+		this._min = Math.max(1, evenShare / 4);
+		this._baseline = Math.max(1, baselineFactor * evenShare);
 		// One VM may come to carry a whole service; more than all slots and as many queued is never of use.
-		this._most = Math.max(this._rest, 2 * bounds.slots);
+		this._max = Math.max(this._baseline, 2 * bounds.slots);
 		if (!this._hasBounds) {
-			this._value = this._rest;
+			this._value = this._baseline;
 			this._hasBounds = true;
 		}
 
@@ -98,13 +98,13 @@
 	}
 
 	onAnswer(sample: LimitSample, now: Instant): void {
-		this._smoothed += (sample.queuedPerSlot - this._smoothed) * smoothing;
+		this._meanQueuedPerSlot += (sample.queuedPerSlot - this._meanQueuedPerSlot) * queueSmoothing;
 		const excess = sample.queuedPerSlot - this._targetAt(now);
 		if (excess > 0) {
-			this._value *= 1 - (largestCut * Math.min(1, excess));
-		} else if (this._value < this._rest) {
-			this._value += this._smoothed < this._target / 2 ? recovery : 1 / this._value;
-		} else if (sample.inFlight >= usedPart * this._value) {
+			this._value *= 1 - (maxDecreaseFraction * Math.min(1, excess));
+		} else if (this._value < this._baseline) {
+			this._value += this._meanQueuedPerSlot < this._target / 2 ? recoveryStep : 1 / this._value;
+		} else if (sample.inFlight >= minUsedFraction * this._value) {
 			this._value += 1 / this._value;
 		}
 
@@ -112,21 +112,21 @@
 	}
 
 	onShed(): void {
-		this._value *= 1 - (2 * largestCut);
+		this._value *= 1 - (2 * maxDecreaseFraction);
 		this._clamp();
 	}
 
 	private _targetAt(now: Instant): number {
-		if (this._smoothed <= this._target / 2) {
+		if (this._meanQueuedPerSlot <= this._target / 2) {
 			this._congestedSince = undefined;
 			return this._target;
 		}
 
 		this._congestedSince ??= now;
-		return now - this._congestedSince < rushMilliseconds ? Math.max(rushTarget, this._target) : this._target;
+		return now - this._congestedSince < maxBurstMilliseconds ? Math.max(burstTarget, this._target) : this._target;
 	}
 
 	private _clamp(): void {
-		this._value = Math.min(this._most, Math.max(this._least, this._value));
+		this._value = Math.min(this._max, Math.max(this._min, this._value));
 	}
 }
--- a/src/common/calls/decaying-histogram.ts
+++ b/src/common/calls/decaying-histogram.ts
@@ -2,10 +2,10 @@
 import {type Milliseconds} from '../model/units.ts';
 
 /** Each bucket is wider than the one before by this factor: quantiles are right to within 10%. */
-const growth = 1.1;
+const bucketGrowth = 1.1;
 
 /** Upper end of the first bucket. */
-const first: Milliseconds = 0.1;
+const firstBucketMilliseconds: Milliseconds = 0.1;
 
 /** Reaches from 0.1 ms to 1.4 hours. */
 const bucketCount = 190;
@@ -14,22 +14,22 @@
 const rescaleAbove = 1e6;
 
 /** Samples between two computations of a remembered quantile: reading all buckets for each call is too dear. */
-const recomputeEvery = 16;
+const samplesPerRecompute = 16;
 
 /** A histogram with logarithmic buckets. Older samples fade by giving newer ones more weight. */
 export class DecayingHistogram {
 	private readonly _weights = new Float64Array(bucketCount);
-	private readonly _fade: number;
+	private readonly _weightGrowth: number;
 	private _nextWeight = 1;
 	private _total = 0;
 	private _count = 0;
-	private _rememberedPart = -1;
-	private _rememberedAt = -1;
-	private _remembered: Milliseconds = 0;
+	private _cachedFraction = -1;
+	private _cachedAtCount = -1;
+	private _cachedValue: Milliseconds = 0;
 
 	/** `memory` is the number of samples after which one counts for a third of a new one. */
-	constructor(memory: number) {
-		this._fade = 1 + (1 / memory);
+	constructor(memorySamples: number) {
+		this._weightGrowth = 1 + (1 / memorySamples);
 	}
 
 	/** Samples taken in all. */
@@ -38,41 +38,41 @@
 	}
 
 	add(value: Milliseconds): void {
-		const bucket = value <= first ? 0 : Math.min(bucketCount - 1, Math.ceil(Math.log(value / first) / Math.log(growth)));
+		const bucket = value <= firstBucketMilliseconds ? 0 : Math.min(bucketCount - 1, Math.ceil(Math.log(value / firstBucketMilliseconds) / Math.log(bucketGrowth)));
 		this._weights[bucket]! += this._nextWeight;
 		this._total += this._nextWeight;
 		this._count++;
-		this._nextWeight *= this._fade;
+		this._nextWeight *= this._weightGrowth;
 		if (this._nextWeight > rescaleAbove) {
 			this._rescale();
 		}
 	}
 
 	/** The value below which the given part of the samples lies; undefined while there is none. */
-	quantile(part: number): Milliseconds | undefined {
+	quantile(fraction: number): Milliseconds | undefined {
 		if (this._count === 0) {
 			return undefined;
 		}
 
-		if (this._rememberedPart !== part || this._count - this._rememberedAt >= recomputeEvery) {
-			this._remembered = this._compute(part);
-			this._rememberedPart = part;
-			this._rememberedAt = this._count;
+		if (this._cachedFraction !== fraction || this._count - this._cachedAtCount >= samplesPerRecompute) {
+			this._cachedValue = this._compute(fraction);
+			this._cachedFraction = fraction;
+			this._cachedAtCount = this._count;
 		}
 
-		return this._remembered;
+		return this._cachedValue;
 	}
 
-	private _compute(part: number): Milliseconds {
-		let rest = this._total * part;
+	private _compute(fraction: number): Milliseconds {
+		let remaining = this._total * fraction;
 		for (let bucket = 0; bucket < bucketCount; bucket++) {
-			rest -= this._weights[bucket]!;
-			if (rest <= 0) {
-				return first * (growth ** bucket);
+			remaining -= this._weights[bucket]!;
+			if (remaining <= 0) {
+				return firstBucketMilliseconds * (bucketGrowth ** bucket);
 			}
 		}
 
-		return first * (growth ** (bucketCount - 1));
+		return firstBucketMilliseconds * (bucketGrowth ** (bucketCount - 1));
 	}
 
 	private _rescale(): void {
--- a/src/common/calls/demand-placer.ts
+++ b/src/common/calls/demand-placer.ts
@@ -13,67 +13,67 @@
 import {type PlacingChoice, type PlacingGrounds} from './types.ts';
 
 /** Spread of chance over expected worths, so that VMs with like knowledge do not all ask the same few. */
-const candidateSpread = 0.6;
+const scoreJitter = 0.6;
 
 /**
  * Backend servers that are scored for an attempt, drawn at random: several times those that are probed. Scoring hundreds
  * costs a VM of a large fleet more than all else that it does for a call, and finds hardly better ones.
  */
-const mostScored = 24;
+const maxScoredServers = 24;
 
 /** Measuring calls in a row without a report after which a backend server is asked only in the background. */
-const silentAfter = 2;
+const unansweredProbesUntilSilent = 2;
 
 /** A silent backend server is asked again with one call in this many that come by: enough to see its return within a second. */
-const silentTurns = 6;
+const callsPerSilentProbe = 6;
 
 /** Part of the worth that is left where a backend server did not answer its measuring calls: it is taken where all are silent. */
-const silentPart = 0.05;
+const silentAcceptanceFactor = 0.05;
 
 /**
  * Calls that one backend server may have beyond its slots. Several VMs may choose it within the same millisecond;
  * beyond its own queue it falls silent on the connection for good, so the guard stays far below that.
  */
-const queueRoom = 2;
+const maxCallsBeyondSlots = 2;
 
 /** Calls that are late anyway may use a backend server up to this part of its slots: fresh ones find the rest. */
-const idlePart = 0.5;
+const idleSlotFraction = 0.5;
 
 /** A report this young tells of the present: most neighbours that it saw are still there. */
-const youngMilliseconds = 150;
+const freshReportMilliseconds = 150;
 
 /**
  * A backend server whose load probes name its rate limit is probed this often though this VM may send it nothing, since its
  * response tells when the limit ends.
  */
-const confirmLimitMilliseconds: Milliseconds = 1000;
+const limitConfirmationMilliseconds: Milliseconds = 1000;
 
 /**
  * Part of its objective for which a call waits for a backend server that will answer within it. Later a refusal would
  * leave its caller no time to come back within the objective.
  */
-const patience = 0.25;
+const maxWaitFraction = 0.25;
 
 /** Chance of an answer in time below which a call that can still wait does so: the next look finds a better one as often. */
-const fairChance = 0.77;
+const minOnTimeProbability = 0.77;
 
 /** The same for a call that has waited as long as makes sense: the alternative is a refusal. */
-const lastChance = 0.72;
+const minOnTimeProbabilityAfterWait = 0.72;
 
 /** The same where nothing young is known of any backend server: waiting for better reports would have no effect. */
-const blindChance = 0.5;
+const minOnTimeProbabilityWithoutReports = 0.5;
 
 /** A backend server where a fresh call has less than this chance is of use to late ones only. */
-const uselessChance = 0.35;
+const slowServerProbability = 0.35;
 
 /** Chance of an answer before the deadline below which a late call is refused where room is short: its caller learns at once. */
-const fairLateChance = 0.93;
+const minLateProbability = 0.93;
 
 /**
  * The same where room is plentiful and a late call takes nothing from others. Below it a refusal, which says at once and
  * truly that nothing has run, is of more use to the caller than an answer that will hardly come.
  */
-const leastLateChance = 0.5;
+const minLateProbabilityWithRoom = 0.5;
 
 /** Bytes of a call and its answer besides the body: heads, and what connections cost. */
 const headBytes = 700;
@@ -81,19 +81,19 @@
 const kilobyte = 1024;
 
 /** Ways of placing a call that can still wait, and one that has waited as long as makes sense, in order of choice. */
-const patientOrder = ['free'] as const;
-const impatientOrder = ['free', 'queued', 'slow', 'idle'] as const;
+const waitingChoices = ['free'] as const;
+const finalChoices = ['free', 'queued', 'slow', 'idle'] as const;
 
 /** What an attempt is expected to bring. */
-type Expectation = {
+type ExpectedOutcome = {
 	/**
 	 * Chance of an answer within the objective, and before the deadline, against the backend server that takes its
 	 * attempts most reliably: where all fail alike, none is out of the question.
 	 */
-	readonly inTime: number;
-	readonly atAll: number;
+	readonly withinObjective: number;
+	readonly beforeDeadline: number;
 	/** Worth of the chances less what the attempt costs others; an answer in time is worth 1. */
-	readonly worth: number;
+	readonly utility: number;
 };
 
 /**
@@ -116,11 +116,11 @@
 	 * centre, or where none of them is left the most promising of all. Probes of others are paid by the byte.
 	 */
 	candidates(call: Call, now: Instant, probed: ReadonlySet<BackendServerState>): BackendServerState[] {
-		const isAble = (server: BackendServerState) => !probed.has(server) && this._isCandidate(server, call, now) && !this._isLeftOut(server);
+		const isSelectable = (server: BackendServerState) => !probed.has(server) && this._isCandidate(server, call, now) && !this._isProbeSkipped(server);
 		const {random, settings: {dataCentre}} = this._context;
-		const near = sample(call.serviceState.serversIn(dataCentre), mostScored, isAble, random);
-		const scored = (near.length > 0 ? near : sample(call.serviceState.servers, mostScored, isAble, random)).map(server => ({
-			server, score: this._expect(server, call, now, 1).worth + ((this._context.random.next() - 0.5) * candidateSpread),
+		const localServers = sample(call.serviceState.serversIn(dataCentre), maxScoredServers, isSelectable, random);
+		const scored = (localServers.length > 0 ? localServers : sample(call.serviceState.servers, maxScoredServers, isSelectable, random)).map(server => ({
+			server, score: this._expectedOutcome(server, call, now, 1).utility + ((this._context.random.next() - 0.5) * scoreJitter),
 		}));
 		scored.sort((one, other) => other.score - one.score);
 		return scored.slice(0, call.serviceState.headroom.probes(this._context.tuning.demandCandidates)).map(({server}) => server);
@@ -130,22 +130,22 @@
 	hasGoodPlace(call: Call, now: Instant): boolean {
 		const {demandFreshMilliseconds, demandWaitMilliseconds} = this._context.tuning;
 		const {servers} = call.serviceState;
-		const reliable = mostTaken(servers, now);
-		return servers.some(server => this._mayTake(server, call, now) && now - server.reportedAt <= demandFreshMilliseconds + demandWaitMilliseconds
-			&& isRoomy(server) && this._expect(server, call, now, reliable).inTime >= fairChance);
+		const bestAcceptance = bestAcceptanceRate(servers, now);
+		return servers.some(server => this._isEligible(server, call, now) && now - server.reportedAt <= demandFreshMilliseconds + demandWaitMilliseconds
+			&& isLightlyLoaded(server) && this._expectedOutcome(server, call, now, bestAcceptance).withinObjective >= minOnTimeProbability);
 	}
 
 	place(call: Call, now: Instant, purpose: AttemptPurpose = 'first'): Placement | undefined {
-		const isPatient = purpose === 'hedge' || (purpose === 'first' && !isImpatient(call, now));
-		const best = this._best(call, now, isPatient ? fairChance : lastChance);
-		const choice = (isPatient ? patientOrder : impatientOrder).find(one => best[one].server !== undefined);
+		const canWait = purpose === 'hedge' || (purpose === 'first' && !isImpatient(call, now));
+		const best = this._bestServers(call, now, canWait ? minOnTimeProbability : minOnTimeProbabilityAfterWait);
+		const choice = (canWait ? waitingChoices : finalChoices).find(one => best[one].server !== undefined);
 		call.grounds = {...best.grounds, choice: choice ?? 'none'};
 		return choice === undefined ? undefined : {server: best[choice].server!, isExperiment: false};
 	}
 
 	/** Records what is known of the service's backend servers, for a call that is refused without a look for a place. */
 	noteGrounds(call: Call, now: Instant): void {
-		call.grounds = {...this._best(call, now, lastChance).grounds, choice: 'none'};
+		call.grounds = {...this._bestServers(call, now, minOnTimeProbabilityAfterWait).grounds, choice: 'none'};
 	}
 
 	/** What is known of a backend server for one more call. */
@@ -159,36 +159,36 @@
 	}
 
 	/** The best backend server for each way of placing the call, and what was seen. */
-	private _best(call: Call, now: Instant, chance: number): Record<Exclude<PlacingChoice, 'none'>, Dearest> & {readonly grounds: Omit<PlacingGrounds, 'choice'>} {
+	private _bestServers(call: Call, now: Instant, requiredProbability: number): Record<Exclude<PlacingChoice, 'none'>, BestServer> & {readonly grounds: Omit<PlacingGrounds, 'choice'>} {
 		const best = {
-			free: new Dearest(), queued: new Dearest(), slow: new Dearest(), idle: new Dearest(),
+			free: new BestServer(), queued: new BestServer(), slow: new BestServer(), idle: new BestServer(),
 		};
 		let withFreeSlot = 0;
-		let bestInTime = 0;
-		let bestAtAll = 0;
-		const known = this._known(call, now);
-		const fairLate = call.serviceState.headroom.isPlentiful ? leastLateChance : fairLateChance;
-		const fair = known.isYoung ? chance : blindChance;
-		const reliable = mostTaken(known.servers, now);
-		for (const server of known.servers) {
+		let bestWithinObjective = 0;
+		let bestBeforeDeadline = 0;
+		const considered = this._consideredServers(call, now);
+		const lateThreshold = call.serviceState.headroom.isPlentiful ? minLateProbabilityWithRoom : minLateProbability;
+		const threshold = considered.hasFreshReports ? requiredProbability : minOnTimeProbabilityWithoutReports;
+		const bestAcceptance = bestAcceptanceRate(considered.servers, now);
+		for (const server of considered.servers) {
 			const {slots} = server.declared;
 			const load = server.reportedLoad + 1;
-			const {inTime, atAll, worth} = this._expect(server, call, now, reliable);
+			const {withinObjective, beforeDeadline, utility} = this._expectedOutcome(server, call, now, bestAcceptance);
 			withFreeSlot += load <= slots ? 1 : 0;
-			bestInTime = Math.max(bestInTime, inTime);
-			bestAtAll = Math.max(bestAtAll, atAll);
-			if (inTime >= fair) {
-				(load <= slots ? best.free : best.queued).offer(server, worth);
+			bestWithinObjective = Math.max(bestWithinObjective, withinObjective);
+			bestBeforeDeadline = Math.max(bestBeforeDeadline, beforeDeadline);
+			if (withinObjective >= threshold) {
+				(load <= slots ? best.free : best.queued).offer(server, utility);
 			}
 
-			if (atAll < fairLate || load > slots) {
+			if (beforeDeadline < lateThreshold || load > slots) {
 				continue;
 			}
 
-			if (this._isUseless(server, call, now)) {
-				best.slow.offer(server, worth);
-			} else if (load <= idlePart * slots) {
-				best.idle.offer(server, worth);
+			if (this._isSlowForNewCalls(server, call, now)) {
+				best.slow.offer(server, utility);
+			} else if (load <= idleSlotFraction * slots) {
+				best.idle.offer(server, utility);
 			}
 		}
 
@@ -199,12 +199,12 @@
 				warmingUp: call.serviceState.servers.filter(server => server.takesNewAttempts && isSparedForWarmUp(this._context, server, call, now)).length,
 				rateLimited: call.serviceState.servers.filter(server => server.takesNewAttempts && isRateLimited(this._context, server, now)).length,
 				evacuated: call.serviceState.servers.filter(server => server.isEvacuated).length,
-				able: known.able,
-				weighed: known.servers.length,
+				able: considered.eligible,
+				weighed: considered.servers.length,
 				withFreeSlot,
-				inTime: bestInTime,
-				inTimeNeeded: fair,
-				atAll: bestAtAll,
+				inTime: bestWithinObjective,
+				inTimeNeeded: threshold,
+				atAll: bestBeforeDeadline,
 				workMilliseconds: workEstimate(call),
 				isWorkLearnt: call.class.hasWork,
 				objectiveLeftMilliseconds: call.objectiveAt - now,
@@ -218,30 +218,30 @@
 	 * VM asks a few of its many backend servers, and an old report of the others looks better than the young ones of
 	 * those that are full. Where no report is young, since none was allowed or none came, all count.
 	 */
-	private _known(call: Call, now: Instant): {readonly servers: readonly BackendServerState[]; readonly isYoung: boolean; readonly able: number} {
-		const able = call.serviceState.servers.filter(server => this._mayTake(server, call, now) && hasRoom(server));
-		const young = able.filter(server => now - server.reportedAt <= youngMilliseconds);
-		const isYoung = young.length > 0;
-		return {servers: isYoung ? young : able, isYoung, able: able.length};
+	private _consideredServers(call: Call, now: Instant): {readonly servers: readonly BackendServerState[]; readonly hasFreshReports: boolean; readonly eligible: number} {
+		const eligible = call.serviceState.servers.filter(server => this._isEligible(server, call, now) && hasCapacity(server));
+		const fresh = eligible.filter(server => now - server.reportedAt <= freshReportMilliseconds);
+		const hasFreshReports = fresh.length > 0;
+		return {servers: hasFreshReports ? fresh : eligible, hasFreshReports, eligible: eligible.length};
 	}
 
 	/** Its neighbours slow it down so much that a fresh call would hardly be answered there within its objective. */
-	private _isUseless(server: BackendServerState, call: Call, now: Instant): boolean {
-		return call.serviceState.answerTimes.chance(workEstimate(call), {...this.prospect(server, now), load: 1}, objectiveOf(call)) < uselessChance;
+	private _isSlowForNewCalls(server: BackendServerState, call: Call, now: Instant): boolean {
+		return call.serviceState.answerTimes.chance(workEstimate(call), {...this.prospect(server, now), load: 1}, objectiveOf(call)) < slowServerProbability;
 	}
 
 	/** One that does not answer its measuring calls is asked by few calls only, so that its silence delays few. */
-	private _isLeftOut(server: BackendServerState): boolean {
-		return server.unansweredMeasurings >= silentAfter && this._context.random.next() * silentTurns >= 1;
+	private _isProbeSkipped(server: BackendServerState): boolean {
+		return server.unansweredMeasurings >= unansweredProbesUntilSilent && this._context.random.next() * callsPerSilentProbe >= 1;
 	}
 
 	/** Whether a report of it would be of use: it may take the call, or would if it told that it is warm or that its limit is over. */
 	private _isCandidate(server: BackendServerState, call: Call, now: Instant): boolean {
-		return this._mayTake(server, call, now)
+		return this._isEligible(server, call, now)
 			|| (server.takesNewAttempts && (server.warmUp.isAssumed(now) || isLimitUnconfirmed(server, now)) && !call.failedOn.has(server));
 	}
 
-	private _mayTake(server: BackendServerState, call: Call, now: Instant): boolean {
+	private _isEligible(server: BackendServerState, call: Call, now: Instant): boolean {
 		if (isSpared(this._context, server, call, now)) {
 			return false;
 		}
@@ -254,21 +254,21 @@
 	}
 
 	/** `reliable` = the part of its attempts that the most reliable of the candidates takes. */
-	private _expect(server: BackendServerState, call: Call, now: Instant, reliable: number): Expectation {
+	private _expectedOutcome(server: BackendServerState, call: Call, now: Instant, bestAcceptance: number): ExpectedOutcome {
 		const {remoteMilliseconds, lateWorth, slotWorth} = this._context.tuning;
 		const {answerTimes} = call.serviceState;
 		const work = workEstimate(call) * (server.warmUp.isUnderWay(now) ? call.serviceState.warmUpSlowness : 1);
 		const prospect = this.prospect(server, now);
-		const way: Milliseconds = this._isLocal(server) ? 0 : remoteMilliseconds;
-		const taken = takenPart(server, now);
-		const inTime = answerTimes.chance(work, prospect, call.objectiveAt - now - way);
-		const atAll = answerTimes.chance(work, prospect, call.deadline - now - way);
-		const slot = slotWorth * answerTimes.mean(work, prospect) / Math.max(1, work);
-		const relative = Math.min(1, taken / reliable);
+		const roundTrip: Milliseconds = this._isLocal(server) ? 0 : remoteMilliseconds;
+		const acceptance = acceptanceRate(server, now);
+		const withinObjective = answerTimes.chance(work, prospect, call.objectiveAt - now - roundTrip);
+		const beforeDeadline = answerTimes.chance(work, prospect, call.deadline - now - roundTrip);
+		const slotPenalty = slotWorth * answerTimes.mean(work, prospect) / Math.max(1, work);
+		const relativeAcceptance = Math.min(1, acceptance / bestAcceptance);
 		return {
-			inTime: relative * inTime,
-			atAll: relative * atAll,
-			worth: (taken * (inTime + (lateWorth * (atAll - inTime)))) - slot - this._bytesWorth(server, call),
+			withinObjective: relativeAcceptance * withinObjective,
+			beforeDeadline: relativeAcceptance * beforeDeadline,
+			utility: (acceptance * (withinObjective + (lateWorth * (beforeDeadline - withinObjective)))) - slotPenalty - this._transferCost(server, call),
 		};
 	}
 
@@ -277,20 +277,20 @@
 	}
 
 	/** What the bytes of a call to another data centre cost. */
-	private _bytesWorth(server: BackendServerState, call: Call): number {
+	private _transferCost(server: BackendServerState, call: Call): number {
 		return this._isLocal(server) ? 0 : this._context.tuning.remoteKilobyteWorth * (call.class.answerBytesMean + headBytes) / kilobyte;
 	}
 }
 
 /** Up to `most` of the items that are accepted, drawn at random where there are more. */
-function sample<Item>(items: readonly Item[], most: number, isAccepted: (item: Item) => boolean, random: RandomSource): Item[] {
-	if (items.length <= most) {
+function sample<Item>(items: readonly Item[], limit: number, isAccepted: (item: Item) => boolean, random: RandomSource): Item[] {
+	if (items.length <= limit) {
 		return items.filter(item => isAccepted(item));
 	}
 
 	const pool = [...items];
 	const chosen: Item[] = [];
-	for (let left = pool.length; left > 0 && chosen.length < most; left--) {
+	for (let left = pool.length; left > 0 && chosen.length < limit; left--) {
 		const index = Math.floor(random.next() * left);
 		const item = pool[index]!;
 		pool[index] = pool[left - 1]!;
@@ -303,13 +303,13 @@
 }
 
 /** The one worth most of the backend servers that were offered. */
-class Dearest {
+class BestServer {
 	server: BackendServerState | undefined;
-	private _worth = -Infinity;
+	private _utility = -Infinity;
 
-	offer(server: BackendServerState, worth: number): void {
-		if (worth > this._worth) {
-			this._worth = worth;
+	offer(server: BackendServerState, utility: number): void {
+		if (utility > this._utility) {
+			this._utility = utility;
 			this.server = server;
 		}
 	}
@@ -317,30 +317,30 @@
 
 /** A call has waited for a backend server that answers within its objective as long as that makes sense. */
 export function isImpatient(call: Call, now: Instant): boolean {
-	return now >= Math.min(call.arrivedAt + (patience * objectiveOf(call)), call.objectiveAt - workEstimate(call));
+	return now >= Math.min(call.arrivedAt + (maxWaitFraction * objectiveOf(call)), call.objectiveAt - workEstimate(call));
 }
 
 /** Its load probes name its rate limit, and the last one is old. */
 function isLimitUnconfirmed({rateLimit, reportedAt}: BackendServerState, now: Instant): boolean {
-	return rateLimit.isNamedByProbes && now - reportedAt > confirmLimitMilliseconds;
+	return rateLimit.isNamedByProbes && now - reportedAt > limitConfirmationMilliseconds;
 }
 
 /** Room by what was reported; a backend server that reports nothing is bounded by its connections. */
-function hasRoom(server: BackendServerState): boolean {
-	return server.report === undefined || server.reportedLoad < server.declared.slots + queueRoom;
+function hasCapacity(server: BackendServerState): boolean {
+	return server.report === undefined || server.reportedLoad < server.declared.slots + maxCallsBeyondSlots;
 }
 
 /** Part of its attempts that a backend server is expected to take and to answer. */
-function takenPart(server: BackendServerState, now: Instant): number {
-	return (1 - server.failingAt(now)) * (1 - server.sheddingAt(now)) * (server.unansweredMeasurings >= silentAfter ? silentPart : 1);
+function acceptanceRate(server: BackendServerState, now: Instant): number {
+	return (1 - server.failingAt(now)) * (1 - server.sheddingAt(now)) * (server.unansweredMeasurings >= unansweredProbesUntilSilent ? silentAcceptanceFactor : 1);
 }
 
 /** The same of the most reliable of these; a little above 0, since it is divided by. */
-function mostTaken(servers: readonly BackendServerState[], now: Instant): number {
-	return Math.max(0.01, ...servers.map(server => server.takesNewAttempts ? takenPart(server, now) : 0));
+function bestAcceptanceRate(servers: readonly BackendServerState[], now: Instant): number {
+	return Math.max(0.01, ...servers.map(server => server.takesNewAttempts ? acceptanceRate(server, now) : 0));
 }
 
 /** Few calls enough that one more is not slowed down by them. */
-function isRoomy(server: BackendServerState): boolean {
+function isLightlyLoaded(server: BackendServerState): boolean {
 	return server.reportedLoad + 1 <= roomyPart * server.declared.slots;
 }
--- a/src/common/calls/hedging.ts
+++ b/src/common/calls/hedging.ts
@@ -9,33 +9,33 @@
 export const mostAttempts = 3;
 
 /** Answers of a class before its quantile is good enough to hedge by. */
-const samplesToHedge = 50;
+const minHedgeSamples = 50;
 
 /** Usual answer times that a hedge is given before the objective: nine in ten answers of a quiet backend server fit. */
-const hedgeReserve = 1.35;
+const hedgeReserveFactor = 1.35;
 
 /** No hedge before this many usual answer times: three in four calls have been answered by then. */
-const leastHedgeDelay = 1.25;
+const minHedgeDelayFactor = 1.25;
 
 /** Chance of an answer in time, among attempts without one so far, above which a second attempt is not worth its slot. */
-const likelyEnough = 0.8;
+const sufficientProbability = 0.8;
 
 /**
  * Part of attempts whose answer does not come for reasons that no answer time tells: lost connections, backend servers
  * that hang, neighbours that come in the middle. It decides how soon silence counts as such.
  */
-const lostPart = 0.03;
+const lostAnswerFraction = 0.03;
 
 /** Pause until a hedge that was not worth it is looked at again: an eighth of the shortest usual answer. */
-const hedgeLookMilliseconds: Milliseconds = 20;
+const hedgeRecheckMilliseconds: Milliseconds = 20;
 
 /**
  * Where measuring is on demand, slow phases hit a tenth of all calls and more, so that a high quantile is itself the time
  * of a slow one. A call is then tried again as long as a usual answer still comes within its objective.
  */
 function hedgeDelay(call: Call, now: Instant): Milliseconds {
-	const usual = workEstimate(call);
-	return Math.max(call.objectiveAt - (usual * hedgeReserve) - now, usual * leastHedgeDelay);
+	const usualMilliseconds = workEstimate(call);
+	return Math.max(call.objectiveAt - (usualMilliseconds * hedgeReserveFactor) - now, usualMilliseconds * minHedgeDelayFactor);
 }
 
 /** Hedges: the runner starts them, this decides on them. */
@@ -59,7 +59,7 @@
 		const isRead = isBodiless(call.request);
 		const times = call.class.answerTimes;
 		const isOnDemand = call.serviceState.isMeasuredOnDemand;
-		if (hedgeQuantile >= 1 || !isRead || !call.isIdempotent || !call.request.mayRetry || (!isOnDemand && times.count < samplesToHedge)) {
+		if (hedgeQuantile >= 1 || !isRead || !call.isIdempotent || !call.request.mayRetry || (!isOnDemand && times.count < minHedgeSamples)) {
 			return;
 		}
 
@@ -74,8 +74,8 @@
 	tryNow(attempt: Attempt, now: Instant): void {
 		const {call} = attempt;
 		const service = call.serviceState;
-		if (this._isStillLikely(attempt, now)) {
-			this._lookAgain(attempt, now);
+		if (this._isFirstAnswerLikely(attempt, now)) {
+			this._scheduleRecheck(attempt, now);
 			return;
 		}
 
@@ -93,20 +93,20 @@
 	 * Guards slots in a rush: a call in the last slot of a backend server takes half as long again, and a second attempt
 	 * after the usual time would take a slot from somebody else for an answer that is on its way.
 	 */
-	private _isStillLikely({call, prospect, startedAt}: Attempt, now: Instant): boolean {
+	private _isFirstAnswerLikely({call, prospect, startedAt}: Attempt, now: Instant): boolean {
 		if (!call.serviceState.isMeasuredOnDemand) {
 			return false;
 		}
 
 		const {answerTimes} = call.serviceState;
-		const soFar = answerTimes.chance(workEstimate(call), prospect, now - startedAt);
-		const inTime = answerTimes.chance(workEstimate(call), prospect, call.objectiveAt - startedAt);
-		return (1 - lostPart) * (inTime - soFar) >= likelyEnough * (((1 - lostPart) * (1 - soFar)) + lostPart);
+		const byNow = answerTimes.chance(workEstimate(call), prospect, now - startedAt);
+		const withinObjective = answerTimes.chance(workEstimate(call), prospect, call.objectiveAt - startedAt);
+		return (1 - lostAnswerFraction) * (withinObjective - byNow) >= sufficientProbability * (((1 - lostAnswerFraction) * (1 - byNow)) + lostAnswerFraction);
 	}
 
-	private _lookAgain(attempt: Attempt, now: Instant): void {
+	private _scheduleRecheck(attempt: Attempt, now: Instant): void {
 		const {call} = attempt;
-		const at = now + hedgeLookMilliseconds;
+		const at = now + hedgeRecheckMilliseconds;
 		if (at < call.objectiveAt - workEstimate(call)) {
 			call.timers.push(this._context.timers.add(at, {type: 'hedge', attempt}));
 		}
--- a/src/common/calls/load-prober.ts
+++ b/src/common/calls/load-prober.ts
@@ -26,7 +26,7 @@
  * Most rounds of probes for one attempt: the own data centre, the others, and once more, since those that were probed
  * may all be slow or full, or a fault may have hit just them.
  */
-const mostRounds = 3;
+const maxRounds = 3;
 
 /** What an attempt is planned for. */
 export type ProbingPlan = Pick<PendingProbes, 'purpose' | 'reason'>;
@@ -97,9 +97,9 @@
 		};
 		call.probing = probing;
 		for (const server of candidates) {
-			if (this._isAwaitable(server, call, now)) {
+			if (this._ensureProbe(server, call, now)) {
 				probing.awaited.add(server);
-				this._wait(server, call);
+				this._addWaiter(server, call);
 			}
 		}
 
@@ -112,10 +112,10 @@
 	}
 
 	/** Whether a report of this backend server is on its way; sends for one where the last is old. */
-	private _isAwaitable(server: BackendServerState, call: Call, now: Instant): boolean {
+	private _ensureProbe(server: BackendServerState, call: Call, now: Instant): boolean {
 		const {demandFreshMilliseconds} = this._context.tuning;
-		const isWarmUpKnown = call.serviceState.warmUp === undefined || server.warmUp.isKnown(now);
-		if (isWarmUpKnown && now - server.reportedAt <= demandFreshMilliseconds) {
+		const isWarmUpReported = call.serviceState.warmUp === undefined || server.warmUp.isKnown(now);
+		if (isWarmUpReported && now - server.reportedAt <= demandFreshMilliseconds) {
 			return false;
 		}
 
@@ -132,7 +132,7 @@
 		return true;
 	}
 
-	private _wait(server: BackendServerState, call: Call): void {
+	private _addWaiter(server: BackendServerState, call: Call): void {
 		const calls = this._waiting.get(server) ?? new Set<Call>();
 		calls.add(call);
 		this._waiting.set(server, calls);
@@ -142,8 +142,8 @@
 	private _finish(call: Call, probing: PendingProbes, now: Instant): void {
 		call.probing = undefined;
 		// Two rounds in which somebody was silent are the longest that a call may be held for reports.
-		const mayAsk = probing.round < mostRounds && probing.candidates.length > 0 && now - probing.startedAt <= this._context.tuning.demandWaitMilliseconds;
-		if (mayAsk && !this._placer.hasGoodPlace(call, now)) {
+		const mayProbeAgain = probing.round < maxRounds && probing.candidates.length > 0 && now - probing.startedAt <= this._context.tuning.demandWaitMilliseconds;
+		if (mayProbeAgain && !this._placer.hasGoodPlace(call, now)) {
 			this._start(call, probing, {...probing, round: probing.round + 1}, now);
 			return;
 		}
--- a/src/common/calls/measuring-schedule.ts
+++ b/src/common/calls/measuring-schedule.ts
@@ -14,14 +14,14 @@
 export const measuringTimeout: Milliseconds = 50;
 
 /** Part of the budget spent at a tail weight of 0: an idle service must not lose all knowledge. */
-const leastPart = 0.05;
+const minBudgetFraction = 0.05;
 
 /**
  * An idle service is measured this much less often: nobody places by what is learnt, and a VM that holds 19,000
  * backend servers of services that it hardly carries would spend a core on them. Enough is kept to notice
  * one that is slow or leaves, and the first call brings the full pace back.
  */
-const idleFactor = 30;
+const idleSpacingFactor = 30;
 
 /** What speaks for and against a measuring call. */
 export type MeasuringNeed = {
@@ -38,8 +38,8 @@
  * either. The parts of all VMs add up to at most 1, hence so do their calls.
  */
 export class MeasuringSchedule {
-	private _lastAt: Instant = -Infinity;
-	private readonly _spentAt: Instant[] = [];
+	private _lastSentAt: Instant = -Infinity;
+	private readonly _sentAt: Instant[] = [];
 	private _startedAt: Instant = -Infinity;
 	private _phase = 0;
 
@@ -55,8 +55,8 @@
 
 	/** Time between two calls that the operator wants, never below what the budget demands. */
 	static spacing(budget: MeasuringBudget, allowed: number): Milliseconds {
-		const part = leastPart + ((1 - leastPart) * budget.tailWeight);
-		return (budget.windowMilliseconds + measuringTimeout) / allowed / part;
+		const budgetFraction = minBudgetFraction + ((1 - minBudgetFraction) * budget.tailWeight);
+		return (budget.windowMilliseconds + measuringTimeout) / allowed / budgetFraction;
 	}
 
 	/**
@@ -64,14 +64,14 @@
 	 * is known is younger than a spacing, since free knowledge makes a measuring call a waste.
 	 * Undefined while nothing may be spent.
 	 */
-	dueAt(budget: MeasuringBudget, shares: FleetShares | undefined, known: MeasuringNeed, now: Instant): Instant | undefined {
+	dueAt(budget: MeasuringBudget, shares: FleetShares | undefined, need: MeasuringNeed, now: Instant): Instant | undefined {
 		const allowed = MeasuringSchedule.allowed(budget, shares, now);
 		if (allowed === 0) {
 			return undefined;
 		}
 
-		const spacing = MeasuringSchedule.spacing(budget, allowed) * (known.isIdle ? idleFactor : 1);
-		return Math.max(this._lastAt + spacing, known.at + spacing, this._startedAt + (this._phase * spacing));
+		const spacing = MeasuringSchedule.spacing(budget, allowed) * (need.isIdle ? idleSpacingFactor : 1);
+		return Math.max(this._lastSentAt + spacing, need.at + spacing, this._startedAt + (this._phase * spacing));
 	}
 
 	/**
@@ -86,21 +86,21 @@
 	/** Notes a measuring call; false = the budget forbids it now, whoever asked for it. */
 	trySpend(budget: MeasuringBudget, shares: FleetShares | undefined, now: Instant): boolean {
 		const allowed = MeasuringSchedule.allowed(budget, shares, now);
-		if (allowed === 0 || now < this._lastAt + ((budget.windowMilliseconds + measuringTimeout) / allowed)) {
+		if (allowed === 0 || now < this._lastSentAt + ((budget.windowMilliseconds + measuringTimeout) / allowed)) {
 			return false;
 		}
 
-		this._lastAt = now;
-		this._spentAt.push(now);
+		this._lastSentAt = now;
+		this._sentAt.push(now);
 		return true;
 	}
 
 	/** Calls sent in the window that ends now. */
 	spent(budget: MeasuringBudget, now: Instant): number {
-		while (this._spentAt.length > 0 && this._spentAt[0]! <= now - budget.windowMilliseconds) {
-			this._spentAt.shift();
+		while (this._sentAt.length > 0 && this._sentAt[0]! <= now - budget.windowMilliseconds) {
+			this._sentAt.shift();
 		}
 
-		return this._spentAt.length;
+		return this._sentAt.length;
 	}
 }
--- a/src/common/calls/moving-average.ts
+++ b/src/common/calls/moving-average.ts
@@ -2,13 +2,13 @@
 export class MovingAverage {
 	private _value: number;
 	private _weight: number;
-	private readonly _memory: number;
+	private readonly _memorySamples: number;
 
 	/** `assumed` counts like `assumedSamples` samples; after `memory` samples an older one counts for a third. */
-	constructor(assumed: number, assumedSamples: number, memory: number) {
-		this._value = assumed;
-		this._weight = assumedSamples;
-		this._memory = memory;
+	constructor(initialValue: number, initialSamples: number, memorySamples: number) {
+		this._value = initialValue;
+		this._weight = initialSamples;
+		this._memorySamples = memorySamples;
 	}
 
 	get value(): number {
@@ -16,7 +16,7 @@
 	}
 
 	add(sample: number): void {
-		this._weight = Math.min(this._memory, this._weight + 1);
+		this._weight = Math.min(this._memorySamples, this._weight + 1);
 		this._value += (sample - this._value) / this._weight;
 	}
 }
--- a/src/common/calls/placer.ts
+++ b/src/common/calls/placer.ts
@@ -21,16 +21,16 @@
 };
 
 /** Width of the bend between "a slot is free" and "it waits", in calls: the load is only estimated. */
-const bend = 1.5;
+const waitSmoothingCalls = 1.5;
 
 /** Answers faster than the clock can tell would make all costs nothing, and failures with them. */
-const shortestAnswer: Milliseconds = 0.1;
+const minAnswerMilliseconds: Milliseconds = 0.1;
 
 /** Time after which any call may tell whether a backend server in doubt works. */
-const longestDoubt: Milliseconds = 5000;
+const maxDoubtMilliseconds: Milliseconds = 5000;
 
 /** Part of a new value in the estimate of local load. */
-const loadGain = 0.1;
+const localLoadGain = 0.1;
 
 /** At least one, else a small part of a small limit would leave the backend server without calls. */
 export function connectionLimit(context: EngineContext, server: BackendServer): number {
@@ -99,9 +99,9 @@
 	}
 
 	place(call: Call, now: Instant): Placement | undefined {
-		const experiment = this._experiment(call, now);
-		if (experiment !== undefined) {
-			return {server: experiment, isExperiment: true};
+		const trialServer = this._trialServer(call, now);
+		if (trialServer !== undefined) {
+			return {server: trialServer, isExperiment: true};
 		}
 
 		const server = this._cheapest(call, now, true) ?? this._cheapest(call, now, false);
@@ -113,16 +113,16 @@
 	 * tells whether a connection or the backend server was at fault, at the price of one call. Where a
 	 * service has no such calls it gets any one after a while, or it would never come back.
 	 */
-	private _experiment(call: Call, now: Instant): BackendServerState | undefined {
+	private _trialServer(call: Call, now: Instant): BackendServerState | undefined {
 		if (call.attemptCount > 0) {
 			return undefined;
 		}
 
-		const isHarmless = call.isIdempotent && isBodiless(call.request) && call.request.mayRetry;
+		const isSafeToRepeat = call.isIdempotent && isBodiless(call.request) && call.request.mayRetry;
 		for (const server of call.serviceState.servers) {
 			const health = server.healthAt(now);
 			const isInDoubt = (health === 'doubted' || health === 'probing') && server.attempts.size === 0 && server.takesNewAttempts && !isSpared(this._context, server, call, now);
-			if (isInDoubt && (isHarmless || server.healthAge(now) >= longestDoubt)) {
+			if (isInDoubt && (isSafeToRepeat || server.healthAge(now) >= maxDoubtMilliseconds)) {
 				return server;
 			}
 		}
@@ -134,11 +134,11 @@
 	 * The second pass, for the case that all look bad, lets health aside: refusing everything because of
 	 * suspicions of its own would turn a common cause into an outage.
 	 */
-	private _cheapest(call: Call, now: Instant, isCareful: boolean): BackendServerState | undefined {
+	private _cheapest(call: Call, now: Instant, requiresHealthy: boolean): BackendServerState | undefined {
 		const service = call.serviceState;
 		const vmCount = vmCountOf(this._context);
 		let best: BackendServerState | undefined;
-		let least = Infinity;
+		let minCost = Infinity;
 		let localLoad = 0;
 		let localCount = 0;
 		const {servers} = service;
@@ -146,7 +146,7 @@
 		const offset = Math.floor(this._context.random.next() * servers.length);
 		for (let index = 0; index < servers.length; index++) {
 			const server = servers[(index + offset) % servers.length]!;
-			if (!this._mayTake(server, call, now, isCareful)) {
+			if (!this._isEligible(server, call, now, requiresHealthy)) {
 				continue;
 			}
 
@@ -158,17 +158,17 @@
 			}
 
 			const cost = this._cost(server, call, now, load) + (isLocal ? 0 : this._remoteCost(call));
-			if (cost < least) {
-				least = cost;
+			if (cost < minCost) {
+				minCost = cost;
 				best = server;
 			}
 		}
 
-		service.localLoad += ((localCount === 0 ? 1 : localLoad / localCount) - service.localLoad) * loadGain;
+		service.localLoad += ((localCount === 0 ? 1 : localLoad / localCount) - service.localLoad) * localLoadGain;
 		return best;
 	}
 
-	private _mayTake(server: BackendServerState, call: Call, now: Instant, isCareful: boolean): boolean {
+	private _isEligible(server: BackendServerState, call: Call, now: Instant, requiresHealthy: boolean): boolean {
 		if (isSpared(this._context, server, call, now)) {
 			return false;
 		}
@@ -178,21 +178,21 @@
 		}
 
 		// Beside a call that may crash it, an innocent one would be lost and look guilty too.
-		const isSuspect = server.suspectsInFlight > 0;
-		if (isSuspect && (isCareful || this._context.suspects.isSuspect(call.request.fingerprint))) {
+		const hasSuspectInFlight = server.suspectsInFlight > 0;
+		if (hasSuspectInFlight && (requiresHealthy || this._context.suspects.isSuspect(call.request.fingerprint))) {
 			return false;
 		}
 
 		const health = server.healthAt(now);
-		return !isCareful || health === 'active' || health === 'warming';
+		return !requiresHealthy || health === 'active' || health === 'warming';
 	}
 
 	private _cost(server: BackendServerState, call: Call, now: Instant, load: number): number {
 		const slots = server.slotsAt(now);
 		const excess = load + 1 - slots;
-		const wait = bend * Math.log1p(Math.exp(Math.min(50, excess / bend))) * call.serviceState.classes.all.holdMean / slots;
-		const failing = 1 + (this._context.tuning.failurePenalty * server.failingAt(now));
-		return ((Math.max(shortestAnswer, call.class.answerMean) + wait) * server.slownessAt(now)) * failing;
+		const wait = waitSmoothingCalls * Math.log1p(Math.exp(Math.min(50, excess / waitSmoothingCalls))) * call.serviceState.classes.all.holdMean / slots;
+		const failureFactor = 1 + (this._context.tuning.failurePenalty * server.failingAt(now));
+		return ((Math.max(minAnswerMilliseconds, call.class.answerMean) + wait) * server.slownessAt(now)) * failureFactor;
 	}
 
 	/**
@@ -202,9 +202,9 @@
 	 */
 	private _remoteCost(call: Call): number {
 		const {overflowAt} = call.serviceState.sharing;
-		const over = (call.serviceState.localLoad - overflowAt) / Math.max(0.01, 1 - overflowAt);
-		const reluctance = 1 - Math.min(1, Math.max(0, over));
+		const excessLoad = (call.serviceState.localLoad - overflowAt) / Math.max(0.01, 1 - overflowAt);
+		const penaltyFactor = 1 - Math.min(1, Math.max(0, excessLoad));
 		const {remoteMilliseconds, remoteReluctance} = this._context.tuning;
-		return remoteMilliseconds + (reluctance * remoteReluctance * call.class.answerMean);
+		return remoteMilliseconds + (penaltyFactor * remoteReluctance * call.class.answerMean);
 	}
 }
--- a/src/common/calls/rate-quota.ts
+++ b/src/common/calls/rate-quota.ts
@@ -4,7 +4,7 @@
 import {type BackendServerIdentity, type FleetMembers} from './types.ts';
 
 /** VMs that share a warming backend server's rate: more than one, so that its warm-up survives the loss of a VM. */
-const ownersOfServer = 3;
+const ownersPerServer = 3;
 
 /**
  * A VM that has just started may know few of the others, and would take itself for the owner of all. Entries of a fleet
@@ -13,22 +13,22 @@
 const settlingMilliseconds: Milliseconds = 3000;
 
 /** VMs that own a named rate limit, at least: it is in use while most of them have no calls. */
-const leastOwnersOfLimit = 3;
+const minOwnersOfLimit = 3;
 
 /** Calls a second of a named limit for each owner. Each owner may start one attempt at once beyond its share. */
-const limitOfOwner = 1;
+const callsPerSecondPerOwner = 1;
 
 /**
  * Part of a named limit that is left to VMs which own nothing of it: with a call now and then they learn from its answer that
  * the limit has ended.
  */
-const othersPart = 0.1;
+const nonOwnerFraction = 0.1;
 
 /** Values of a hash. */
 const hashRange = 2 ** 32;
 
 /** A hash as a number from 0 to below 1. */
-function partOf(hash: number): number {
+function hashFraction(hash: number): number {
 	return (((hash % hashRange) + hashRange) % hashRange) / hashRange;
 }
 
@@ -78,8 +78,8 @@
 export class OwnerRateQuota implements RateQuota {
 	private readonly _hash: (text: string) => number;
 	private _members: FleetMembers | undefined;
-	private _knownSince: Instant | undefined;
-	private _shares = new Map<string, number>();
+	private _membersSince: Instant | undefined;
+	private _warmUpShares = new Map<string, number>();
 	private _limitShares = new Map<string, RateShare>();
 
 	constructor(hash: (text: string) => number) {
@@ -88,24 +88,24 @@
 
 	setMembers(members: FleetMembers, now: Instant): void {
 		this._members = members;
-		this._knownSince ??= now;
-		this._shares = new Map();
+		this._membersSince ??= now;
+		this._warmUpShares = new Map();
 		this._limitShares = new Map();
 	}
 
 	attemptsPerSecond(server: SharedServer, rate: number, now: Instant): number {
-		if (this._members === undefined || now - this._knownSince! < settlingMilliseconds) {
+		if (this._members === undefined || now - this._membersSince! < settlingMilliseconds) {
 			return 0;
 		}
 
 		const key = `${server.identity} ${rate}`;
-		const share = this._shares.get(key) ?? this._share(server, rate, this._members);
-		this._shares.set(key, share);
+		const share = this._warmUpShares.get(key) ?? this._warmUpShare(server, rate, this._members);
+		this._warmUpShares.set(key, share);
 		return share;
 	}
 
 	shareOfLimit(server: SharedServer, rate: number, now: Instant): RateShare {
-		if (this._members === undefined || now - this._knownSince! < settlingMilliseconds) {
+		if (this._members === undefined || now - this._membersSince! < settlingMilliseconds) {
 			return {callsPerSecond: 0, firstTokens: 0};
 		}
 
@@ -117,23 +117,23 @@
 
 	/** More owners for a larger limit: a few VMs of a large fleet have no use for it. */
 	private _limitShare({identity, dataCentre}: SharedServer, rate: number, {own, byDataCentre}: FleetMembers): RateShare {
-		const count = Math.max(leastOwnersOfLimit, Math.ceil(rate / limitOfOwner));
-		const near = byDataCentre.get(dataCentre) ?? [];
+		const count = Math.max(minOwnersOfLimit, Math.ceil(rate / callsPerSecondPerOwner));
+		const localVms = byDataCentre.get(dataCentre) ?? [];
 		const all = [...byDataCentre.values()].flat();
-		const owners = chooseByRank(near.length >= count ? near : all, count, vm => this._hash(`${vm} ${identity}`));
-		const others = all.length - owners.length;
+		const owners = chooseByRank(localVms.length >= count ? localVms : all, count, vm => this._hash(`${vm} ${identity}`));
+		const nonOwners = all.length - owners.length;
 		if (owners.includes(own)) {
-			return {callsPerSecond: (others > 0 ? 1 - othersPart : 1) * rate / owners.length, firstTokens: 1};
+			return {callsPerSecond: (nonOwners > 0 ? 1 - nonOwnerFraction : 1) * rate / owners.length, firstTokens: 1};
 		}
 
-		return {callsPerSecond: othersPart * rate / Math.max(1, others), firstTokens: partOf(this._hash(`${identity} ${own}`))};
+		return {callsPerSecond: nonOwnerFraction * rate / Math.max(1, nonOwners), firstTokens: hashFraction(this._hash(`${identity} ${own}`))};
 	}
 
-	private _share({identity, dataCentre}: SharedServer, rate: number, {own, byDataCentre}: FleetMembers): number {
-		const near = byDataCentre.get(dataCentre) ?? [...byDataCentre.values()].flat();
-		const whole = Math.floor(rate);
-		const owners = chooseByRank(near, Math.min(ownersOfServer, whole), vm => this._hash(`${vm} ${identity}`));
-		const place = owners.indexOf(own);
-		return place === -1 ? 0 : Math.floor(whole / owners.length) + (place < whole % owners.length ? 1 : 0);
+	private _warmUpShare({identity, dataCentre}: SharedServer, rate: number, {own, byDataCentre}: FleetMembers): number {
+		const localVms = byDataCentre.get(dataCentre) ?? [...byDataCentre.values()].flat();
+		const wholeCalls = Math.floor(rate);
+		const owners = chooseByRank(localVms, Math.min(ownersPerServer, wholeCalls), vm => this._hash(`${vm} ${identity}`));
+		const rank = owners.indexOf(own);
+		return rank === -1 ? 0 : Math.floor(wholeCalls / owners.length) + (rank < wholeCalls % owners.length ? 1 : 0);
 	}
 }
--- a/src/common/calls/report-trust.ts
+++ b/src/common/calls/report-trust.ts
@@ -1,17 +1,17 @@
 /** Whether a service's load reports are of use, learnt from what became of the calls placed by them. */
 
 /** Answers over which the relation is learnt. */
-const memory = 400;
+const memorySamples = 400;
 
 /** Relation assumed at first, and its weight in answers: reports are trusted until they mislead. */
-const firstSlope = 0.05;
-const firstVariance = 2;
+const initialSlope = 0.05;
+const initialVariance = 2;
 
 /** A relation as strong as this, in mean answer times for each reported call, gives full trust. */
 const fullTrustSlope = 0.02;
 
 /** With no relation at all, reports are still trusted this far: an idle service shows none either. */
-const restingTrust = 0.5;
+const baselineTrust = 0.5;
 
 /**
  * Regression of answer times on the load that was reported at placing. Made for reports that lag or lie:
@@ -21,8 +21,8 @@
 export class ReportTrust {
 	private _meanSignal = 0;
 	private _meanRatio = 1;
-	private _covariance = firstSlope * firstVariance;
-	private _variance = firstVariance;
+	private _covariance = initialSlope * initialVariance;
+	private _variance = initialVariance;
 
 	/** Change of the answer time, in means, for each reported call. */
 	get slope(): number {
@@ -32,12 +32,12 @@
 	/** 0 = reports say nothing, 1 = as good as they can be. */
 	get value(): number {
 		const relation = this.slope / fullTrustSlope;
-		return Math.min(1, Math.max(0, restingTrust + ((1 - restingTrust) * relation)));
+		return Math.min(1, Math.max(0, baselineTrust + ((1 - baselineTrust) * relation)));
 	}
 
 	/** `signal` = calls more than usual that were reported at placing; `ratio` = answer time in class means. */
 	add(signal: number, ratio: number): void {
-		const gain = 1 / memory;
+		const gain = 1 / memorySamples;
 		const clipped = Math.min(5, ratio);
 		const signalError = signal - this._meanSignal;
 		const ratioError = clipped - this._meanRatio;
--- a/src/common/calls/warm-up.ts
+++ b/src/common/calls/warm-up.ts
@@ -2,13 +2,13 @@
 import {type Instant, type Milliseconds} from '../model/units.ts';
 
 /** A busy backend server that turns cold must be probed again within this part of the second over which its calls are counted. */
-const knownMilliseconds: Milliseconds = 200;
+const reportValidMilliseconds: Milliseconds = 200;
 
 /** One backend server's warm-up. It may begin anew at any time, without a restart. */
 export class WarmUp {
 	private _until: Instant;
 	private _isAssumed = false;
-	private _toldAt: Instant = -Infinity;
+	private _reportedAt: Instant = -Infinity;
 
 	/** `until` = when its warm-up is over; undefined = it is warm. */
 	constructor(until: Instant | undefined) {
@@ -27,13 +27,13 @@
 
 	/** Whether its own answer has told of it so lately that a warm-up which began since has done little harm. */
 	isKnown(now: Instant): boolean {
-		return now - this._toldAt <= knownMilliseconds;
+		return now - this._reportedAt <= reportValidMilliseconds;
 	}
 
 	/** Its own answer: the time that is left; 0 = it is warm. */
-	note(left: Milliseconds, now: Instant): void {
-		this._toldAt = now;
-		this._until = now + left;
+	note(remaining: Milliseconds, now: Instant): void {
+		this._reportedAt = now;
+		this._until = now + remaining;
 		this._isAssumed = false;
 	}
 
--- a/src/proof/guards/guards.ts
+++ b/src/proof/guards/guards.ts
@@ -86,7 +86,7 @@
 	{
 		name: 'measuring keeps to the budget, whoever asks',
 		file: `${calls}/measuring-schedule.ts`,
-		text: 'allowed === 0 || now < this._lastAt + ((budget.windowMilliseconds + measuringTimeout) / allowed)',
+		text: 'allowed === 0 || now < this._lastSentAt + ((budget.windowMilliseconds + measuringTimeout) / allowed)',
 		replacement: 'allowed === 0',
 		tests: callTests,
 	},
@@ -338,7 +338,7 @@
 	{
 		name: 'an answer that overtook another does not end a rate limit',
 		file: `${calls}/rate-limit.ts`,
-		text: 'notice === undefined && startedAt <= this._namedAt ? \'none\' : ',
+		text: 'notice === undefined && startedAt <= this._announcedAt ? \'none\' : ',
 		replacement: '',
 		tests: [`${calls}/rate-limit.test.ts`],
 	},
