--- a/src/common/calls/admission.ts
+++ b/src/common/calls/admission.ts
@@ -9,23 +9,23 @@
 import {type ServiceState} from './service-state.ts';
 
 /**
- * Part of its objective that a call waits at most where measuring is on demand. A caller that is told to come back within
- * a third of its objective can still be answered in time; one that is held longer cannot.
+ * On-demand measuring: maximum wait as a fraction of the call's objective. A caller that is refused within a third of its
+ * objective can still be answered in time on a retry; one that is held longer cannot.
  */
 const maxWaitFraction = 0.33;
 
-/** Calls that one look for room may take out of the queue: each asks several backend servers. */
+/** Queued calls that one queue check may start: each of them probes several backend servers. */
 const callsPerQueueCheck = 2;
 
-/** Pause between two looks for room: an eighth of the shortest usual answer, and ten measuring calls at most. */
+/** Interval of queue checks: an eighth of the shortest usual answer time, and ten load probes at most. */
 const queueCheckMilliseconds: Milliseconds = 20;
 
 /**
- * Admits within the service's concurrency limit; beyond it calls wait here, where they can still be
- * refused, cancelled and placed by the latest load reports. A call is refused at the moment when it is known
- * that it would not be answered in time: at once where the backlog says so, else when its latest start
- * has passed. Made for rushes (which wait) and for lasting overload (in which a long queue would only
- * make every answer late, so that after a while only short waits are accepted).
+ * Admits calls within the service's concurrency limit. Calls beyond it wait in a queue on this VM, where they can still
+ * be refused, cancelled and placed by the latest load reports. A call is refused as soon as it is clear that it would not
+ * be answered in time: at once if the backlog is too long, else when its latest start has passed. Made for bursts, whose
+ * calls wait, and for lasting overload, in which a long queue would only make every answer late, so that after a while
+ * only short waits are accepted.
  */
 export class Admission {
 	private readonly _context: EngineContext;
@@ -84,7 +84,7 @@
 		}
 	}
 
-	/** No backend server is left that may be used: waiting for one would only cost callers their time. */
+	/** No usable backend server is left, so waiting would only cost callers their time. */
 	private _refuseAll(service: ServiceState, now: Instant): void {
 		for (let call = service.queue.take(() => true); call !== undefined; call = service.queue.take(() => true)) {
 			this._refuseUnserved(call, now);
@@ -96,7 +96,10 @@
 		this._endings.refuse(call, 'no-backend-server', now);
 	}
 
-	/** The latest start of a queued call has passed: it could only become work that nobody waits for. */
+	/**
+	 * Called when the latest start of a queued call has passed. In on-demand mode the call may still start without a probe;
+	 * otherwise it is refused, since its answer would come too late.
+	 */
 	expire(call: Call, now: Instant): void {
 		if (call.serviceState.isMeasuredOnDemand) {
 			call.serviceState.queue.remove(call);
@@ -115,7 +118,7 @@
 			return;
 		}
 
-		// Waiting for a share that is not there before the latest start would only cost its caller the time.
+		// The rate limits allow no attempt before the latest start, so waiting would only cost the caller time.
 		if (whenLimitsAllow(this._context, service, now) > Math.max(now, latestStart(call))) {
 			this._runner.noteGrounds(call, now);
 			this._endings.refuse(call, 'overloaded', now);
@@ -145,7 +148,7 @@
 		}
 	}
 
-	/** Room at backend servers that other VMs share comes without an event here: it is looked for by the clock. */
+	/** Room on backend servers that other VMs use too appears without an event on this VM, so a timer checks for it. */
 	private _scheduleQueueCheck(service: ServiceState, now: Instant): void {
 		if (service.isMeasuredOnDemand && !service.isLookPlanned) {
 			service.isLookPlanned = true;
@@ -153,7 +156,7 @@
 		}
 	}
 
-	/** Whether the backlog says that a call's turn would come too late. */
+	/** Whether the calls ahead would delay the start too long. */
 	private _isBacklogTooLong(call: Call, now: Instant): boolean {
 		const service = call.serviceState;
 		if (service.isMeasuredOnDemand) {
@@ -171,21 +174,21 @@
 		return (remaining - call.class.answerMean) * (isStanding ? standingWaitPart : 1);
 	}
 
-	/** While others wait, one caller may not hold more than its share of the concurrency. */
+	/** While other callers wait, one caller may not hold more than its share of the concurrency limit. */
 	private _mayStart(service: ServiceState, caller: string): boolean {
 		return service.callerInFlight(caller) < Math.max(1, service.sharing.callerShare * service.limit.value);
 	}
 }
 
 /**
- * Where measuring is on demand, the reports of the backend servers themselves say whether there is room: the limit that
- * is learnt from their queues would only know it later.
+ * In on-demand mode the load reports of the backend servers show whether there is room; the limit that is learnt from
+ * their queues would adapt too late.
  */
 function hasFreeConcurrency(service: ServiceState): boolean {
 	return service.isMeasuredOnDemand || service.inFlight < service.limit.value;
 }
 
-/** Started later, a call would not be answered in time; where measuring is on demand, it would miss its objective. */
+/** Latest start with which a call can still be answered in time; in on-demand mode, within its objective. */
 function latestStart(call: Call): Instant {
 	return call.serviceState.isMeasuredOnDemand ? call.arrivedAt + (maxWaitFraction * objectiveOf(call)) : call.deadline - call.class.answerMean;
 }
--- a/src/common/calls/answer-time-model.ts
+++ b/src/common/calls/answer-time-model.ts
@@ -1,51 +1,63 @@
-/** What a service's answers have taught: how long they take by load and neighbours, and how long a report holds. */
+/**
+ * Answer time model of a service, learnt from its answers: the effect of load and of neighbours, and how long a load
+ * report stays valid.
+ */
 import {type Milliseconds} from '../model/units.ts';
 import {MovingAverage} from './moving-average.ts';
 import {roomyPart, slowFrom} from './load-levels.ts';
 
-/** What is known of a backend server when a call is to be sent there. */
+/** Load of a backend server at the moment when a call is placed. */
 export type Prospect = {
-	/** Calls there, this one counted. */
+	/** Calls there, including this one. */
 	readonly load: number;
 	readonly slots: number;
-	/** Work time against the usual that it reported; undefined = it has reported none. */
+	/** Reported work time relative to the usual one; undefined = none reported. */
 	readonly workTimeFactor: number | undefined;
 	/** Age of that report. */
 	readonly age: Milliseconds;
 };
 
 /**
- * Load levels at which answers are learnt apart: few calls, nearly full, queued. Times longer at each before anything was seen, and what they count for in samples. Servers that slow down as they
- * fill up take 1.5 to 1.7 times as long in their last slots; those that do not correct it within a minute of calls.
+ * Load levels whose slowdown is learnt separately: few calls, nearly full, queued. The initial slowdowns, and their
+ * weight in samples. Servers that slow down as they fill up take 1.5 to 1.7 times as long in their last slots; for others
+ * the values adapt within a minute of calls.
  */
 const initialSlowdowns = {few: 1, full: 1.5, queued: 2.2};
 const initialSlowdownSamples = 12;
 
-/** Relative spread of answer times that nothing explains, before any was seen: one in ten takes half as long again. */
+/** Initial standard deviation of the logarithm of unexplained answer times: one in ten takes half as long again. */
 const initialSpread = 0.32;
 
-/** Least spread: what was learnt by a few like answers must not make the model certain. */
+/** Lower bound of the spread: a few similar answers must not make the model certain. */
 const minSpread = 0.15;
 
-/** Part of backend servers with neighbours, and how much slower those are, before any report was seen. */
+/** Initial fraction of backend servers slowed down by neighbours, and the slowdown there. */
 const initialSlowFraction = 0.3;
 const initialSlowFactor = 4;
 
-/** Reports that the assumptions on neighbours count for: four arrive with each call. */
+/** Weight of the initial values on neighbours, in reports: four reports arrive with each call. */
 const initialReportSamples = 40;
 
-/** Samples after which an older one counts for a third: a few minutes of one VM's calls, seconds of its reports. */
+/**
+ * Samples after which an older one has a third of its weight: a few minutes of one VM's calls, or seconds of its reports.
+ */
 const answerMemorySamples = 300;
 const reportMemorySamples = 400;
 
-/** How long a report of neighbours holds, before any change was seen. Pieces of 300 to 500 ms were met. */
+/**
+ * Initial time constant with which a report about neighbours loses its validity. Phases of 300 to 500 ms have been
+ * observed.
+ */
 const initialReportValidityMilliseconds: Milliseconds = 350;
 
-/** Reports of one backend server whose distance says something of how long they hold. */
+/** Interval between two reports of one backend server from which the rate of change is learnt. */
 const minReportGapMilliseconds: Milliseconds = 20;
 const maxReportGapMilliseconds: Milliseconds = 400;
 
-/** An answer this many times longer than expected tells of a fault, and not of the work: it would spoil the spread. */
+/**
+ * An answer this many times longer than expected points to a fault and not to the work; it is left out, since it would
+ * distort the spread.
+ */
 const maxAnswerTimeRatio = 6;
 
 type LoadLevel = keyof typeof initialSlowdowns;
@@ -58,7 +70,7 @@
 	return load <= roomyPart * slots ? 'few' : 'full';
 }
 
-/** Part of a normal distribution below `deviations` (Abramowitz and Stegun 26.2.16, right to 1e-5). */
+/** Cumulative normal distribution (Abramowitz and Stegun 26.2.16, accurate to 1e-5). */
 function normalDistribution(deviations: number): number {
 	const step = 1 / (1 + (0.332_67 * Math.abs(deviations)));
 	const density = Math.exp(-deviations * deviations / 2) / Math.sqrt(2 * Math.PI);
@@ -67,10 +79,10 @@
 }
 
 /**
- * Chances of answers, for the pattern "load and neighbours change within milliseconds". An answer's time is the class's
- * work, times the neighbours' factor, times what the load adds, times a lognormal rest. Assumptions stand in until
- * samples outweigh them, so the first call of a process is judged as well. `answer-time-model.test.ts` holds it against
- * generators whose quantiles are known.
+ * Estimates answer probabilities for load and neighbours that change within milliseconds. The answer time is the class's
+ * work time, times the neighbours' factor, times the slowdown by load, times a lognormal residual. Initial values apply
+ * until samples outweigh them, so the model works from the first call of a process. `answer-time-model.test.ts` compares
+ * it with generators whose quantiles are known.
  */
 export class AnswerTimeModel {
 	private readonly _slowdowns: Record<LoadLevel, MovingAverage> = {
@@ -82,15 +94,15 @@
 	private readonly _variance = new MovingAverage(initialSpread * initialSpread, initialSlowdownSamples * 2, answerMemorySamples);
 	private readonly _slowFraction = new MovingAverage(initialSlowFraction, initialReportSamples, reportMemorySamples);
 	private readonly _slowFactor = new MovingAverage(initialSlowFactor, initialReportSamples / 4, reportMemorySamples);
-	/** Changes a millisecond between two reports of one backend server. */
+	/** Changes per millisecond between two reports of one backend server. */
 	private readonly _changeRate = new MovingAverage(1 / initialReportValidityMilliseconds, initialReportSamples, reportMemorySamples);
 
-	/** Part of the backend servers that neighbours slow down. */
+	/** Fraction of the backend servers that neighbours slow down. */
 	get slowFraction(): number {
 		return this._slowFraction.value;
 	}
 
-	/** Chance that an answer comes within this time. */
+	/** Probability of an answer within the time `within`. */
 	chance(work: Milliseconds, snapshot: Prospect, within: Milliseconds): number {
 		if (within <= 0) {
 			return 0;
@@ -107,7 +119,7 @@
 		return (confidence * this._lognormalProbability(base * reportedFactor, within)) + (confidence > 0.99 ? 0 : (1 - confidence) * unreported());
 	}
 
-	/** Mean time of an answer. */
+	/** Mean answer time. */
 	mean(work: Milliseconds, snapshot: Prospect): Milliseconds {
 		const base = work * this._slowdowns[loadLevelOf(snapshot)].value * this._queueingFactor(snapshot);
 		const unreported = 1 + (this.slowFraction * (this._slowFactor.value - 1));
@@ -115,10 +127,11 @@
 		return base * ((confidence * (snapshot.workTimeFactor ?? 0)) + ((1 - confidence) * unreported));
 	}
 
-	/** Takes in how long an answer took that was expected by this prospect. */
+	/** Learns from the answer time of an attempt that was placed with this snapshot. */
 	addAnswer(work: Milliseconds, snapshot: Prospect, time: Milliseconds): void {
 		const factor = snapshot.workTimeFactor;
-		// What neighbours do to a call on a slow or long unheard-of backend server tells nothing of the load's effect.
+		// The time of a call on a slow backend server, or on one with an old report, is dominated by neighbours and says
+		// nothing about the effect of load.
 		if (factor === undefined || factor >= slowFrom || this._reportConfidence(snapshot.age) < 0.9 || work <= 0 || time <= 0) {
 			return;
 		}
@@ -134,7 +147,10 @@
 		this._variance.add(Math.log(ratio) ** 2);
 	}
 
-	/** Takes in a report; `former` = the one before it of the same process, made this long before. */
+	/**
+	 * Learns from a report; `previous` = the factor in the preceding report of the same process, received `gap`
+	 * milliseconds before.
+	 */
 	addReport(factor: number | undefined, previous: number | undefined, gap: Milliseconds): void {
 		if (factor === undefined) {
 			return;
@@ -152,8 +168,8 @@
 	}
 
 	/**
-	 * A change is seen only if the new state differs from the old one, which it does in 2p(1 - p) of the cases where p is
-	 * the slow part.
+	 * A change is visible only if the new state differs from the old one, which has the probability 2p(1 - p), where p is
+	 * the slow fraction.
 	 */
 	private _ratePerChange(gap: Milliseconds): number {
 		return 1 / (gap * Math.max(0.1, 2 * this.slowFraction * (1 - this.slowFraction)));
@@ -163,7 +179,7 @@
 		return Math.exp(-Math.max(0, age) * this._changeRate.value);
 	}
 
-	/** A queued call waits for as many ends as stand before it. */
+	/** A queued call waits for as many calls to end as are ahead of it. */
 	private _queueingFactor({load, slots}: Prospect): number {
 		return 1 + (Math.max(0, load - slots - 1) / Math.max(1, slots));
 	}
--- a/src/common/calls/backend-server-state.ts
+++ b/src/common/calls/backend-server-state.ts
@@ -1,4 +1,4 @@
-/** What this VM knows of one backend server: its load, its speed, its failures, its health. */
+/** State that this VM keeps for one backend server: load, speed, failures and health. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type Attempt} from './call.ts';
 import {
@@ -13,51 +13,54 @@
 import {WarmUp} from './warm-up.ts';
 import {type BackendServerIdentity, type BackendServerInForce, type LoadReport} from './types.ts';
 
-/** Part of a new answer time in the mean of the latest ones: swings are over after a few calls. */
+/** Weight of a new answer time in the moving average: fluctuations are gone after a few calls. */
 const slownessGain = 0.3;
 
-/** The same for failures: the first one must show, since the second may follow within the millisecond. */
+/**
+ * Weight of a new outcome in the failure rate. It is large, since the second failure may follow within a millisecond of
+ * the first.
+ */
 const failureGain = 0.4;
 
 /**
- * A backend server that answered faster than the mean looks this much shorter at best: proven ones are
- * preferred to unknown ones while there is little load, but none draws all calls for ever.
+ * Lower bound of the slowness of a backend server that answered faster than the mean. Known fast ones are preferred to
+ * unknown ones under low load, but none attracts all calls for ever.
  */
 const minSlowness = 0.6;
 
-/** Span over which attempts at a warming backend server are counted. */
+/** Window in which attempts on a warming backend server are counted. */
 const rateWindowMilliseconds: Milliseconds = 1000;
 
-/** What a report changed. */
+/** Effect of a load report. */
 export type ReportEffect = {
 	readonly isTaken: boolean;
-	/** A new process answers: the one named here is gone. */
+	/** Instance of the process that a new process has replaced. */
 	readonly goneInstance: string | undefined;
-	/** First sign of leaving. */
+	/** It is the first sign that the backend server is leaving. */
 	readonly beganToLeave: boolean;
 };
 
 const nothingChanged: ReportEffect = {isTaken: false, goneInstance: undefined, beganToLeave: false};
 
-/** Knowledge of one backend server, kept across changes of its declared fields. */
+/** State of one backend server, kept across changes of its declared fields. */
 export class BackendServerState {
 	readonly identity: BackendServerIdentity;
 	declared: BackendServerInForce;
 	/** Its data centre is evacuated. */
 	isEvacuated = false;
-	/** Attempts of this VM that have neither ended nor been given up. */
+	/** Attempts of this VM that have neither ended nor been cancelled. */
 	readonly attempts = new Set<Attempt>();
 	readonly schedule = new MeasuringSchedule();
-	/** When it is next looked at for measuring. */
+	/** Timer of its next check for a paced measuring call. */
 	look: TimerEntry<BackendServerState> | undefined;
-	/** Calls placed here that may crash it. */
+	/** Calls in flight here that may crash it. */
 	suspectsInFlight = 0;
 	report: LoadReport | undefined;
 	reportedAt: Instant = -Infinity;
 	lastAnswerAt: Instant = -Infinity;
-	/** A measuring call on demand is under way since then. */
+	/** When the load probe in flight was sent; undefined = none is in flight. */
 	measuringSince: Instant | undefined;
-	/** Measuring calls on demand in a row that brought no report. */
+	/** Consecutive load probes without a report. */
 	unansweredMeasurings = 0;
 	readonly warmUp: WarmUp;
 	rateLimit = new RateLimit();
@@ -76,10 +79,13 @@
 	private _failuresInRow = 0;
 	private _ejections = 0;
 	private _ejectedUntil: Instant = 0;
-	/** When the latest attempts started, oldest first; kept only while they may count against a rate. */
+	/** When recent attempts started, oldest first; kept only for the rate window. */
 	private _recentStarts: Instant[] = [];
 
-	/** `isKnown` = it was there before this VM began to serve, so that it is not cold for being new here. */
+	/**
+	 * `existedBefore` = it was in force before this VM began to serve, so it is not cold merely because it is new to this
+	 * VM.
+	 */
 	constructor(identity: BackendServerIdentity, declared: BackendServerInForce, tuning: CallTuning, now: Instant, existedBefore = false) {
 		this.identity = identity;
 		this.declared = declared;
@@ -96,7 +102,7 @@
 		return this._health === 'leaving' || this.declared.isLeaving;
 	}
 
-	/** Whether it may get any new attempt; what runs there finishes. */
+	/** Whether it may get new attempts; those in flight finish in any case. */
 	get takesNewAttempts(): boolean {
 		return !this.isEvacuated && !this.isLeaving;
 	}
@@ -105,7 +111,10 @@
 		return this._failuresInRow;
 	}
 
-	/** Names its process as well as is known: by what reports say, and by its start; undefined = neither is known. */
+	/**
+	 * Identifies its process by the reported instance and the declared start time, as far as available; undefined = neither
+	 * is.
+	 */
 	get process(): string | undefined {
 		const {processStartedAt} = this.declared;
 		const instance = this.report?.instance;
@@ -117,14 +126,14 @@
 		return now - this._healthSince;
 	}
 
-	/** Calls believed to be there now: those of the latest report, and own ones sent since. */
+	/** Estimated calls there now: those of the latest report, and own calls sent since. */
 	get reportedLoad(): number {
 		return this.report === undefined
 			? this.attempts.size
 			: this.report.inFlight + this.report.queued + Math.max(0, this.attempts.size - this._ownCallsAtReport);
 	}
 
-	/** Brings the health up to the present and gives it. */
+	/** Applies health transitions that are due by now, and returns the health. */
 	healthAt(now: Instant): Health {
 		if (this._health === 'warming' && now - this._healthSince >= this._warmingMilliseconds) {
 			this.move('WARM', now);
@@ -135,7 +144,7 @@
 		return this._health;
 	}
 
-	/** Slots it may be counted on for: a cold one gets few calls at first, more as it warms up. */
+	/** Slots to place calls by: few for a cold backend server, growing to all as it warms up. */
 	slotsAt(now: Instant): number {
 		const {slots} = this.declared;
 		if (this.healthAt(now) !== 'warming') {
@@ -146,23 +155,25 @@
 		return Math.max(1, slots * Math.min(1, Math.max(this._tuning.warmingStart, warmUpProgress)));
 	}
 
-	/** Answer time against the mean of the class; remembered less and less, so that a recovered one is tried again. */
+	/**
+	 * Answer time relative to the mean of the class. It decays, so that a backend server that has recovered is tried again.
+	 */
 	slownessAt(now: Instant): number {
 		const decay = Math.exp((this._slownessUpdatedAt - now) / this._tuning.slownessMemoryMilliseconds);
 		return Math.max(minSlowness, 1 + ((this._slowness - 1) * decay), this._overdueSlowness(now));
 	}
 
-	/** Part of its latest calls that it failed. */
+	/** Decayed fraction of its recent calls that failed. */
 	failingAt(now: Instant): number {
 		return this._failureRate === 0 ? 0 : this._failureRate * Math.exp((this._failureRateUpdatedAt - now) / this._tuning.failureMemoryMilliseconds);
 	}
 
-	/** Part of its latest attempts that it turned away unrun. */
+	/** Decayed fraction of its recent attempts that it shed without running them. */
 	sheddingAt(now: Instant): number {
 		return this._shedRate === 0 ? 0 : this._shedRate * Math.exp((this._shedRateUpdatedAt - now) / this._tuning.failureMemoryMilliseconds);
 	}
 
-	/** An attempt of this VM starts. */
+	/** Records the start of an attempt of this VM. */
 	noteStart(now: Instant): void {
 		this._recentStarts = this._recentStarts.filter(at => now - at < rateWindowMilliseconds);
 		this._recentStarts.push(now);
@@ -173,7 +184,7 @@
 		return this._recentStarts.filter(at => now - at < rateWindowMilliseconds).length;
 	}
 
-	/** It took an attempt, or turned it away unrun. */
+	/** Records whether the backend server accepted an attempt or shed it without running it. */
 	noteTaken(isTaken: boolean, now: Instant): void {
 		const previous = this.sheddingAt(now);
 		this._shedRate = previous + (((isTaken ? 0 : 1) - previous) * slownessGain);
@@ -181,9 +192,8 @@
 	}
 
 	/**
-	 * Calls of other VMs there beyond the usual number, by the latest report. It fades into the usual:
-	 * after a mean answer time most of what it counted has left, and only chance would make a choice by
-	 * it right.
+	 * Calls of other VMs beyond the usual number, by the latest report. It decays to 0: after a mean answer time most of
+	 * the reported calls have left, and a choice by the report would be right only by chance.
 	 */
 	signalAt(now: Instant, usual: number, holdMean: Milliseconds): number {
 		if (this.report === undefined || this._tuning.reportTrust === 0) {
@@ -195,7 +205,9 @@
 		return (others - usual) * Math.exp((this.reportedAt - now) / lifetime);
 	}
 
-	/** An attempt was given up unanswered: it would have taken at least this long. */
+	/**
+	 * Records the time of an attempt that was cancelled without an answer; the answer would have taken at least this long.
+	 */
 	onGivenUp(time: Milliseconds, classMean: Milliseconds, now: Instant): void {
 		const ratio = time / Math.max(classMean, 0.01);
 		if (ratio > this._decayedSlowness(now)) {
@@ -203,7 +215,7 @@
 		}
 	}
 
-	/** Calls of other VMs that the latest report counted. */
+	/** Calls of other VMs in the latest report. */
 	get reportedOthers(): number | undefined {
 		return this.report === undefined ? undefined : Math.max(0, this.report.inFlight + this.report.queued - this._ownCallsAtReport);
 	}
@@ -219,13 +231,13 @@
 		}
 	}
 
-	/** An attempt failed, or was answered with a server error, through the backend server's fault. */
+	/** Records an attempt that failed, or was answered with a server error, through the backend server's fault. */
 	onFailure(now: Instant): void {
 		this._failuresInRow++;
 		this._recordOutcome(1, now);
 	}
 
-	/** Takes it out for a while; the time doubles with each probe that fails. */
+	/** Ejects the backend server for a time that doubles with each failed probe. */
 	eject(event: 'FAILING' | 'SILENT', now: Instant): void {
 		this.move(event, now);
 		if (this._health === 'ejected') {
@@ -243,14 +255,16 @@
 		}
 	}
 
-	/** Takes a sign of leaving; one of a process that is gone says nothing of the present one. */
+	/** Applies a signal that a process is leaving; one of a process that is gone does not affect the present one. */
 	takeLeaving(instance: string | undefined, now: Instant): void {
 		if (this._processes.takeSign(instance, now)) {
 			this.move('LEAVE', now);
 		}
 	}
 
-	/** Takes in a report made at `madeAt`. Older ones and those of an earlier process are dropped. */
+	/**
+	 * Applies a report made at `madeAt`. Reports that are older than the latest one, or of an earlier process, are dropped.
+	 */
 	takeReport(report: LoadReport, madeAt: Instant, now: Instant): ReportEffect {
 		if (madeAt < this.reportedAt) {
 			return nothingChanged;
@@ -281,7 +295,7 @@
 		return {isTaken: true, goneInstance: change === 'replaced' ? previousInstance : undefined, beganToLeave};
 	}
 
-	/** What was learnt of a process that is gone binds nothing of the new one: not its leaving, load or failures. */
+	/** Resets what was learnt from the previous process: its leaving, load and failures do not apply to the new one. */
 	private _resetForNewProcess(now: Instant): void {
 		this._slowness = 1;
 		this._failureRate = 0;
@@ -310,7 +324,7 @@
 		this._failureRateUpdatedAt = now;
 	}
 
-	/** The oldest attempt without an answer tells of a slow phase before any answer can. */
+	/** The oldest attempt without an answer, if overdue, shows a slow phase before any answer can. */
 	private _overdueSlowness(now: Instant): number {
 		for (const attempt of this.attempts) {
 			if (!attempt.hasHead) {
--- a/src/common/calls/demand-placer.ts
+++ b/src/common/calls/demand-placer.ts
@@ -1,4 +1,7 @@
-/** Chooses candidates to measure, and among them the backend server where an attempt is worth most. */
+/**
+ * Placement for on-demand measuring: selects the backend servers to probe, and among those with a report the one with the
+ * highest expected utility.
+ */
 import {type Instant, type Milliseconds, type RandomSource} from '../model/units.ts';
 import {type Prospect} from './answer-time-model.ts';
 import {type BackendServerState} from './backend-server-state.ts';
@@ -12,97 +15,119 @@
 } from './placer.ts';
 import {type PlacingChoice, type PlacingGrounds} from './types.ts';
 
-/** Spread of chance over expected worths, so that VMs with like knowledge do not all ask the same few. */
+/**
+ * Width of the random jitter on candidate scores, so that VMs with similar data do not all probe the same few backend
+ * servers.
+ */
 const scoreJitter = 0.6;
 
 /**
- * Backend servers that are scored for an attempt, drawn at random: several times those that are probed. Scoring hundreds
- * costs a VM of a large fleet more than all else that it does for a call, and finds hardly better ones.
+ * Maximum number of backend servers that are scored for an attempt, drawn at random: several times the number of those
+ * probed. Scoring hundreds costs a VM of a large fleet more than all other work for a call, and hardly finds better ones.
  */
 const maxScoredServers = 24;
 
-/** Measuring calls in a row without a report after which a backend server is asked only in the background. */
+/**
+ * Number of consecutive load probes without a report after which a backend server counts as silent and is probed by few
+ * calls only.
+ */
 const unansweredProbesUntilSilent = 2;
 
-/** A silent backend server is asked again with one call in this many that come by: enough to see its return within a second. */
+/** One in this many calls probes a silent backend server again: enough to notice its return within a second. */
 const callsPerSilentProbe = 6;
 
-/** Part of the worth that is left where a backend server did not answer its measuring calls: it is taken where all are silent. */
+/** Factor on the acceptance rate of a silent backend server: it is chosen only where all others are silent too. */
 const silentAcceptanceFactor = 0.05;
 
 /**
- * Calls that one backend server may have beyond its slots. Several VMs may choose it within the same millisecond;
- * beyond its own queue it falls silent on the connection for good, so the guard stays far below that.
+ * Calls that a backend server may have beyond its slots. Several VMs may choose it within the same millisecond. When its
+ * own queue overflows, it stops answering on the connection for good, so this bound stays far below the queue's size.
  */
 const maxCallsBeyondSlots = 2;
 
-/** Calls that are late anyway may use a backend server up to this part of its slots: fresh ones find the rest. */
+/**
+ * Fraction of its slots up to which a backend server may be used for calls that are late anyway; the rest is left to
+ * calls that can still be in time.
+ */
 const idleSlotFraction = 0.5;
 
-/** A report this young tells of the present: most neighbours that it saw are still there. */
+/** Age up to which a report counts as fresh: most neighbours that it reflects are still active. */
 const freshReportMilliseconds = 150;
 
 /**
- * A backend server whose load probes name its rate limit is probed this often though this VM may send it nothing, since its
- * response tells when the limit ends.
+ * Interval at which a backend server is probed although this VM's share of its rate limit is spent, if its load probes
+ * report the limit: the response shows when the limit ends.
  */
 const limitConfirmationMilliseconds: Milliseconds = 1000;
 
 /**
- * Part of its objective for which a call waits for a backend server that will answer within it. Later a refusal would
- * leave its caller no time to come back within the objective.
+ * Fraction of its objective that a call waits for a backend server that is likely to answer in time. A refusal after a
+ * longer wait would leave its caller no time to retry within the objective.
  */
 const maxWaitFraction = 0.25;
 
-/** Chance of an answer in time below which a call that can still wait does so: the next look finds a better one as often. */
+/**
+ * Probability of an answer in time below which a call that can still wait does so: the next check is as likely to find a
+ * better backend server.
+ */
 const minOnTimeProbability = 0.77;
 
-/** The same for a call that has waited as long as makes sense: the alternative is a refusal. */
+/** Required probability once the call has waited as long as allowed: the alternative is a refusal. */
 const minOnTimeProbabilityAfterWait = 0.72;
 
-/** The same where nothing young is known of any backend server: waiting for better reports would have no effect. */
+/**
+ * Required probability where no backend server has a fresh report, so that waiting for a better one would have no effect.
+ */
 const minOnTimeProbabilityWithoutReports = 0.5;
 
-/** A backend server where a fresh call has less than this chance is of use to late ones only. */
+/** A backend server on which a new call has a lower probability of an answer in time is used for late calls only. */
 const slowServerProbability = 0.35;
 
-/** Chance of an answer before the deadline below which a late call is refused where room is short: its caller learns at once. */
+/**
+ * Probability of an answer before the deadline below which a late call is refused at once, while few backend servers have
+ * room.
+ */
 const minLateProbability = 0.93;
 
 /**
- * The same where room is plentiful and a late call takes nothing from others. Below it a refusal, which says at once and
- * truly that nothing has run, is of more use to the caller than an answer that will hardly come.
+ * The same while most backend servers have room, so that a late call takes nothing from others. Below this probability an
+ * immediate refusal, which states that nothing has run, is of more use to the caller than an answer that will hardly
+ * come.
  */
 const minLateProbabilityWithRoom = 0.5;
 
-/** Bytes of a call and its answer besides the body: heads, and what connections cost. */
+/** Bytes of a call and its answer besides the bodies: heads, and the cost of connections. */
 const headBytes = 700;
 
 const kilobyte = 1024;
 
-/** Ways of placing a call that can still wait, and one that has waited as long as makes sense, in order of choice. */
+/**
+ * Kinds of placement for a call that can still wait, and for one that has waited as long as allowed, in order of
+ * preference.
+ */
 const waitingChoices = ['free'] as const;
 const finalChoices = ['free', 'queued', 'slow', 'idle'] as const;
 
-/** What an attempt is expected to bring. */
+/** Expected result of an attempt on one backend server. */
 type ExpectedOutcome = {
 	/**
-	 * Chance of an answer within the objective, and before the deadline, against the backend server that takes its
-	 * attempts most reliably: where all fail alike, none is out of the question.
+	 * Probabilities of an answer within the objective and before the deadline. Both are relative to the backend server with
+	 * the best acceptance rate: where all fail alike, none is ruled out.
 	 */
 	readonly withinObjective: number;
 	readonly beforeDeadline: number;
-	/** Worth of the chances less what the attempt costs others; an answer in time is worth 1. */
+	/** Expected value of the answer less what the attempt costs others; an answer in time has the value 1. */
 	readonly utility: number;
 };
 
 /**
- * Places by reports that were fetched for the attempt, or are as young, where backend servers slow down when they are full:
- * an attempt goes where it is worth most, by the chances of its answer, the bytes of its way and the time for which it takes
- * a slot from others. A call waits for a moment for a place with a fair chance.
- * It takes free slots first, since a call that is queued at a backend server cannot be moved any more, and queues there
- * only after its wait. One that can no longer be answered in time must not take a quick place from one that can: it goes
- * to a slow backend server that is of no use to a fresh call, else to one that is half empty, or is refused.
+ * Places attempts by load reports that were fetched for them or are as recent, for backend servers that slow down as they
+ * fill up. An attempt goes to the backend server with the highest utility: the probabilities of its answer less the cost
+ * of its bytes and of the slot time that it takes from other calls. A call waits a short time for a backend server that
+ * is likely to answer in time. Free slots come first, since a call that is queued at a backend server cannot be moved any
+ * more; queueing there is allowed only after the wait. A call that can no longer be answered in time must not take a fast
+ * slot from one that can: it goes to a backend server that is too slow for new calls, else to one that is at most half
+ * full, or is refused.
  */
 export class DemandPlacer implements Placer {
 	private readonly _context: EngineContext;
@@ -112,8 +137,8 @@
 	}
 
 	/**
-	 * Backend servers to probe for an attempt of this call, but for those in `probed`: those of the own data
-	 * centre, or where none of them is left the most promising of all. Probes of others are paid by the byte.
+	 * Backend servers to probe for an attempt of this call, without those in `probed`: the best scored of the local data
+	 * centre, or of all if none of those is left. Probes of other data centres are charged by the byte.
 	 */
 	candidates(call: Call, now: Instant, probed: ReadonlySet<BackendServerState>): BackendServerState[] {
 		const isSelectable = (server: BackendServerState) => !probed.has(server) && this._isCandidate(server, call, now) && !this._isProbeSkipped(server);
@@ -126,7 +151,10 @@
 		return scored.slice(0, call.serviceState.headroom.probes(this._context.tuning.demandCandidates)).map(({server}) => server);
 	}
 
-	/** Whether a place is known by young reports that is as good as any: probing further backend servers would have no effect. */
+	/**
+	 * Whether fresh reports already show a backend server with free slots that is likely enough to answer in time, so that
+	 * more probes would have no effect.
+	 */
 	hasGoodPlace(call: Call, now: Instant): boolean {
 		const {demandFreshMilliseconds, demandWaitMilliseconds} = this._context.tuning;
 		const {servers} = call.serviceState;
@@ -143,12 +171,14 @@
 		return choice === undefined ? undefined : {server: best[choice].server!, isExperiment: false};
 	}
 
-	/** Records what is known of the service's backend servers, for a call that is refused without a look for a place. */
+	/**
+	 * Stores what is recorded about the service's backend servers for a call that is refused without a search for a place.
+	 */
 	noteGrounds(call: Call, now: Instant): void {
 		call.grounds = {...this._bestServers(call, now, minOnTimeProbabilityAfterWait).grounds, choice: 'none'};
 	}
 
-	/** What is known of a backend server for one more call. */
+	/** Load of a backend server with one more call, as input for the answer time model. */
 	prospect(server: BackendServerState, now: Instant): Prospect {
 		return {
 			load: server.reportedLoad + 1,
@@ -158,7 +188,7 @@
 		};
 	}
 
-	/** The best backend server for each way of placing the call, and what was seen. */
+	/** The best backend server for each kind of placement, and the grounds to record. */
 	private _bestServers(call: Call, now: Instant, requiredProbability: number): Record<Exclude<PlacingChoice, 'none'>, BestServer> & {readonly grounds: Omit<PlacingGrounds, 'choice'>} {
 		const best = {
 			free: new BestServer(), queued: new BestServer(), slow: new BestServer(), idle: new BestServer(),
@@ -214,9 +244,9 @@
 	}
 
 	/**
-	 * Backend servers with room of which something young is known. Guards against placing blindly in a large fleet: each
-	 * VM asks a few of its many backend servers, and an old report of the others looks better than the young ones of
-	 * those that are full. Where no report is young, since none was allowed or none came, all count.
+	 * Eligible backend servers with capacity and a fresh report. In a large fleet each VM probes a few of many backend
+	 * servers, and an old report of the others would look better than the fresh reports of full ones. Where no report is
+	 * fresh, since no probe was allowed or none was answered, all eligible ones are returned.
 	 */
 	private _consideredServers(call: Call, now: Instant): {readonly servers: readonly BackendServerState[]; readonly hasFreshReports: boolean; readonly eligible: number} {
 		const eligible = call.serviceState.servers.filter(server => this._isEligible(server, call, now) && hasCapacity(server));
@@ -225,17 +255,20 @@
 		return {servers: hasFreshReports ? fresh : eligible, hasFreshReports, eligible: eligible.length};
 	}
 
-	/** Its neighbours slow it down so much that a fresh call would hardly be answered there within its objective. */
+	/** Whether neighbours slow it down so much that a new call would hardly be answered there within its objective. */
 	private _isSlowForNewCalls(server: BackendServerState, call: Call, now: Instant): boolean {
 		return call.serviceState.answerTimes.chance(workEstimate(call), {...this.prospect(server, now), load: 1}, objectiveOf(call)) < slowServerProbability;
 	}
 
-	/** One that does not answer its measuring calls is asked by few calls only, so that its silence delays few. */
+	/** Skips most probes of a silent backend server, so that its missing answers delay few calls. */
 	private _isProbeSkipped(server: BackendServerState): boolean {
 		return server.unansweredMeasurings >= unansweredProbesUntilSilent && this._context.random.next() * callsPerSilentProbe >= 1;
 	}
 
-	/** Whether a report of it would be of use: it may take the call, or would if it told that it is warm or that its limit is over. */
+	/**
+	 * Whether a report of the backend server is of use: it is eligible, or would be if the report showed that it is warm or
+	 * that its rate limit has ended.
+	 */
 	private _isCandidate(server: BackendServerState, call: Call, now: Instant): boolean {
 		return this._isEligible(server, call, now)
 			|| (server.takesNewAttempts && (server.warmUp.isAssumed(now) || isLimitUnconfirmed(server, now)) && !call.failedOn.has(server));
@@ -253,7 +286,7 @@
 		return server.suspectsInFlight === 0 || !this._context.suspects.isSuspect(call.request.fingerprint);
 	}
 
-	/** `reliable` = the part of its attempts that the most reliable of the candidates takes. */
+	/** `bestAcceptance` = the highest acceptance rate among the candidates. */
 	private _expectedOutcome(server: BackendServerState, call: Call, now: Instant, bestAcceptance: number): ExpectedOutcome {
 		const {remoteMilliseconds, lateWorth, slotWorth} = this._context.tuning;
 		const {answerTimes} = call.serviceState;
@@ -276,13 +309,13 @@
 		return server.declared.dataCentre === this._context.settings.dataCentre;
 	}
 
-	/** What the bytes of a call to another data centre cost. */
+	/** Cost of the bytes of a call to another data centre. */
 	private _transferCost(server: BackendServerState, call: Call): number {
 		return this._isLocal(server) ? 0 : this._context.tuning.remoteKilobyteWorth * (call.class.answerBytesMean + headBytes) / kilobyte;
 	}
 }
 
-/** Up to `most` of the items that are accepted, drawn at random where there are more. */
+/** Up to `limit` of the accepted items, drawn at random where there are more. */
 function sample<Item>(items: readonly Item[], limit: number, isAccepted: (item: Item) => boolean, random: RandomSource): Item[] {
 	if (items.length <= limit) {
 		return items.filter(item => isAccepted(item));
@@ -302,7 +335,7 @@
 	return chosen;
 }
 
-/** The one worth most of the backend servers that were offered. */
+/** Keeps the backend server with the highest utility of those offered. */
 class BestServer {
 	server: BackendServerState | undefined;
 	private _utility = -Infinity;
@@ -315,32 +348,32 @@
 	}
 }
 
-/** A call has waited for a backend server that answers within its objective as long as that makes sense. */
+/** Whether the call has waited as long as allowed for a backend server that answers within its objective. */
 export function isImpatient(call: Call, now: Instant): boolean {
 	return now >= Math.min(call.arrivedAt + (maxWaitFraction * objectiveOf(call)), call.objectiveAt - workEstimate(call));
 }
 
-/** Its load probes name its rate limit, and the last one is old. */
+/** Whether the backend server's load probes report its rate limit and the last report is old. */
 function isLimitUnconfirmed({rateLimit, reportedAt}: BackendServerState, now: Instant): boolean {
 	return rateLimit.isNamedByProbes && now - reportedAt > limitConfirmationMilliseconds;
 }
 
-/** Room by what was reported; a backend server that reports nothing is bounded by its connections. */
+/** Whether the reported load leaves room. A backend server without reports is bounded by its connections. */
 function hasCapacity(server: BackendServerState): boolean {
 	return server.report === undefined || server.reportedLoad < server.declared.slots + maxCallsBeyondSlots;
 }
 
-/** Part of its attempts that a backend server is expected to take and to answer. */
+/** Fraction of its attempts that a backend server is expected to accept and to answer. */
 function acceptanceRate(server: BackendServerState, now: Instant): number {
 	return (1 - server.failingAt(now)) * (1 - server.sheddingAt(now)) * (server.unansweredMeasurings >= unansweredProbesUntilSilent ? silentAcceptanceFactor : 1);
 }
 
-/** The same of the most reliable of these; a little above 0, since it is divided by. */
+/** Highest acceptance rate of these backend servers; above 0, since it is used as a divisor. */
 function bestAcceptanceRate(servers: readonly BackendServerState[], now: Instant): number {
 	return Math.max(0.01, ...servers.map(server => server.takesNewAttempts ? acceptanceRate(server, now) : 0));
 }
 
-/** Few calls enough that one more is not slowed down by them. */
+/** Whether one more call would not be slowed down by the calls already there. */
 function isLightlyLoaded(server: BackendServerState): boolean {
 	return server.reportedLoad + 1 <= roomyPart * server.declared.slots;
 }
--- a/src/common/calls/placer.ts
+++ b/src/common/calls/placer.ts
@@ -1,4 +1,4 @@
-/** Chooses the backend server for an attempt. */
+/** Chooses the backend server for an attempt where measuring is paced, and checks the limits that all placement obeys. */
 import {type BackendServer} from '../model/resources.ts';
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type BackendServerState} from './backend-server-state.ts';
@@ -7,42 +7,47 @@
 import {type ServiceState} from './service-state.ts';
 import {type RateShare} from './rate-quota.ts';
 
-/** A choice. */
+/** A chosen backend server. */
 export type Placement = {
 	readonly server: BackendServerState;
-	/** The one call that a backend server in doubt gets. */
+	/** It is the single trial call of a backend server in doubt. */
 	readonly isExperiment: boolean;
 };
 
-/** Chooses backend servers. */
+/** Placement policy. */
 export type Placer = {
-	/** Undefined = no backend server may take this call now. */
+	/** Undefined = no backend server may get this call now. */
 	place(call: Call, now: Instant, purpose?: AttemptPurpose): Placement | undefined;
 };
 
-/** Width of the bend between "a slot is free" and "it waits", in calls: the load is only estimated. */
+/**
+ * Width of the smooth transition between "a slot is free" and "the call waits", in calls: the load is only an estimate.
+ */
 const waitSmoothingCalls = 1.5;
 
-/** Answers faster than the clock can tell would make all costs nothing, and failures with them. */
+/** Lower bound of the answer time in the cost. At 0 all costs would vanish, and the failure factor with them. */
 const minAnswerMilliseconds: Milliseconds = 0.1;
 
-/** Time after which any call may tell whether a backend server in doubt works. */
+/** Time after which any call, not only a repeatable one, may be the trial call of a backend server in doubt. */
 const maxDoubtMilliseconds: Milliseconds = 5000;
 
-/** Part of a new value in the estimate of local load. */
+/** Weight of a new value in the moving average of local load. */
 const localLoadGain = 0.1;
 
-/** At least one, else a small part of a small limit would leave the backend server without calls. */
+/**
+ * Connections that this VM may hold to the backend server. At least one: a small share of a small limit would otherwise
+ * round down to none.
+ */
 export function connectionLimit(context: EngineContext, server: BackendServer): number {
 	return Math.max(1, Math.floor((context.shares?.connectionPart ?? 0) * server.connectionLimit));
 }
 
-/** Whether a backend server may get no attempt of this VM now, as it warms up or names a rate limit. */
+/** Whether the warm-up rate or the rate limit of a backend server currently forbids another attempt of this VM. */
 export function isSpared(context: EngineContext, server: BackendServerState, call: Call, now: Instant): boolean {
 	return isSparedForWarmUp(context, server, call, now) || isRateLimited(context, server, now);
 }
 
-/** This VM's share of the rate limit that a backend server has named; undefined = it has named none. */
+/** This VM's share of the rate limit that a backend server has announced; undefined = none announced. */
 export function shareOfLimit({rateLimit, identity, declared: {dataCentre}}: BackendServerState, context: EngineContext, now: Instant): RateShare | undefined {
 	return rateLimit.callsPerSecond === undefined ? undefined : context.rateQuota.shareOfLimit({identity, dataCentre}, rateLimit.callsPerSecond, now);
 }
@@ -54,8 +59,8 @@
 }
 
 /**
- * When the service's backend servers may next get an attempt of this VM: now while one of them names no rate limit or its
- * share is not spent.
+ * Earliest time at which rate limits allow an attempt of this VM on one of the service's backend servers: now if one of
+ * them has no rate limit or an unspent share.
  */
 export function whenLimitsAllow(context: EngineContext, service: ServiceState, now: Instant): Instant {
 	let earliest = Infinity;
@@ -72,8 +77,9 @@
 }
 
 /**
- * Whether a backend server warms up and this VM has started as many attempts there in the last second as it may. Guards
- * a cold backend server that looks idle to every VM at once: it crashes under more calls a second than its service declares.
+ * Whether a backend server is warming up and this VM has started its share of attempts there within the last second.
+ * Without this limit every VM would send its calls to a cold backend server that looks idle, which crashes under more
+ * calls per second than its service declares.
  */
 export function isSparedForWarmUp(context: EngineContext, server: BackendServerState, call: Call, now: Instant): boolean {
 	const {warmUp} = call.serviceState;
@@ -86,10 +92,10 @@
 }
 
 /**
- * Places by the time that the answer is expected to take: the class's mean, times the backend server's
- * slowness and failures, and the wait for a slot. Made for loads that change within milliseconds under
- * reports that are old: what is known fades with its age, and when nothing fresh is known all look alike
- * and chance decides, so that many VMs with the same old reports do not choose the same backend server.
+ * Places by expected answer time: the mean of the call's class and the wait for a slot, multiplied by the backend
+ * server's slowness and failure factor. Made for loads that change within milliseconds while reports are old: the weight
+ * of a report decays with its age. Without fresh data all backend servers cost the same and a random choice decides, so
+ * that many VMs with the same old reports do not choose the same one.
  */
 export class ExpectedTimePlacer implements Placer {
 	private readonly _context: EngineContext;
@@ -109,9 +115,9 @@
 	}
 
 	/**
-	 * A backend server in doubt gets one call at a time, and only one that can be sent again: its answer
-	 * tells whether a connection or the backend server was at fault, at the price of one call. Where a
-	 * service has no such calls it gets any one after a while, or it would never come back.
+	 * A backend server in doubt gets one trial call at a time, and only one that can be sent again: the result shows
+	 * whether a connection or the backend server was at fault, at the cost of one call. After `maxDoubtMilliseconds` any
+	 * call will do, since a service without repeatable calls would otherwise never use that backend server again.
 	 */
 	private _trialServer(call: Call, now: Instant): BackendServerState | undefined {
 		if (call.attemptCount > 0) {
@@ -131,8 +137,8 @@
 	}
 
 	/**
-	 * The second pass, for the case that all look bad, lets health aside: refusing everything because of
-	 * suspicions of its own would turn a common cause into an outage.
+	 * The second pass, when no backend server is healthy, ignores health: refusing all calls because of this VM's own
+	 * health checks would turn a common cause into an outage.
 	 */
 	private _cheapest(call: Call, now: Instant, requiresHealthy: boolean): BackendServerState | undefined {
 		const service = call.serviceState;
@@ -142,7 +148,7 @@
 		let localLoad = 0;
 		let localCount = 0;
 		const {servers} = service;
-		// Begun anywhere, so that VMs that know nothing yet do not all choose the first.
+		// A random start, so that VMs without any data do not all choose the first one.
 		const offset = Math.floor(this._context.random.next() * servers.length);
 		for (let index = 0; index < servers.length; index++) {
 			const server = servers[(index + offset) % servers.length]!;
@@ -177,7 +183,7 @@
 			return false;
 		}
 
-		// Beside a call that may crash it, an innocent one would be lost and look guilty too.
+		// A harmless call beside one that may crash the backend server would be lost, and would become a suspect too.
 		const hasSuspectInFlight = server.suspectsInFlight > 0;
 		if (hasSuspectInFlight && (requiresHealthy || this._context.suspects.isSuspect(call.request.fingerprint))) {
 			return false;
@@ -196,9 +202,9 @@
 	}
 
 	/**
-	 * Local first: another data centre costs the way, and looks dearer still while local load is below the
-	 * operator's mark. Above it the reluctance shrinks with the load and not at a stroke, and each VM
-	 * goes by its own estimate, so that not all calls of a data centre move at once.
+	 * Cost of leaving the data centre: the round trip, and a penalty while local load is below the operator's `overflowAt`.
+	 * Above it the penalty shrinks gradually with the load, and each VM uses its own load estimate, so that the calls of a
+	 * data centre do not all move at once.
 	 */
 	private _remoteCost(call: Call): number {
 		const {overflowAt} = call.serviceState.sharing;
--- a/src/common/calls/tuning.ts
+++ b/src/common/calls/tuning.ts
@@ -1,91 +1,115 @@
 /**
- * Numbers that the decisions use and no resource declares. Each names the load that it is made for and
- * the reason for its limit; the figures with and without each mechanism are in docs/design/placing.md.
+ * Tuning constants of the placement decisions that no resource declares. Each comment names the load that the constant is
+ * made for and the reason for its limit. docs/design/placing.md has the figures with and without each mechanism.
  */
 import {type Milliseconds} from '../model/units.ts';
 
-/** The numbers; a benchmark sets single ones to a neutral value to show what a mechanism brings. */
+/**
+ * Tuning constants of one engine. A benchmark sets single ones to a neutral value to measure what a mechanism
+ * contributes.
+ */
 export type CallTuning = {
 	/**
-	 * How long a backend server's slowness is remembered once nothing more is heard of it. Longer keeps
-	 * calls away from one that has recovered; shorter sends more calls to learn that it has not.
+	 * Time constant with which a backend server's measured slowness decays while no new answers arrive. A longer one keeps
+	 * calls away from a server that has recovered; a shorter one sends more calls to a server that is still slow.
 	 */
 	readonly slownessMemoryMilliseconds: Milliseconds;
-	/** The same for its failures. */
+	/** Time constant with which the failure and shed rates of a backend server decay. */
 	readonly failureMemoryMilliseconds: Milliseconds;
-	/** Times longer that a wholly failing backend server looks, so that answering fast does not attract calls. */
+	/**
+	 * Factor by which the expected time of a backend server grows when all its calls fail, so that fast failures do not
+	 * attract calls.
+	 */
 	readonly failurePenalty: number;
-	/** Factor on how long a report is trusted, in mean answer times: what it counted has left by then. 0 = never. */
+	/**
+	 * Time constant with which a load report decays, in mean answer times: by then the calls that it counted have left. 0 =
+	 * reports are ignored.
+	 */
 	readonly reportTrust: number;
 	/**
-	 * How far own calls in flight are taken as a sample of other VMs' calls: those go by similar reports and
-	 * will have chosen likewise. 0 = not at all, 1 = all VMs have sent as many.
+	 * Weight with which this VM's own calls in flight are extrapolated to the other VMs, which place by similar reports and
+	 * so choose alike. 0 = not at all, 1 = every other VM has sent as many calls.
 	 */
 	readonly ownAsSample: number;
-	/** An attempt still unanswered after this many mean answer times says that its backend server is slow. */
+	/** An attempt without an answer after this many mean answer times counts as a sign that its backend server is slow. */
 	readonly overdueFactor: number;
-	/** What a call to another data centre costs at least: a way there and back. */
+	/** Least cost of a call to another data centre: the network round trip. */
 	readonly remoteMilliseconds: Milliseconds;
 	/**
-	 * Where measuring is on demand: what a kilobyte to or from another data centre costs, as a part of the worth of an
-	 * answer in time. The three customers pay 0.005 to 0.017: an answer of 5 KB goes there only if that gains it a
-	 * twentieth of its chance, one of 90 KB only if the near ones hardly answer at all.
+	 * On-demand measuring: cost of a kilobyte to or from another data centre, as a fraction of the value of an answer in
+	 * time. The three customers pay 0.005 to 0.017. An answer of 5 KB goes there only if that raises its probability of
+	 * being in time by a twentieth, one of 90 KB only if the local backend servers hardly answer at all.
 	 */
 	readonly remoteKilobyteWorth: number;
-	/** Worth of an answer that comes after its objective, against one in time: users count that they are served at all. */
+	/** Value of an answer after its objective, relative to one in time: users also count whether they are served at all. */
 	readonly lateWorth: number;
 	/**
-	 * What a slot is worth to others for the time of a call's usual work, against an answer in time. Without it, past the
-	 * limit of the model (`npm run bench -- demand --only over`), 0.204 of the calls were late and with it 0.189.
+	 * Cost of occupying a slot for the usual work time of a call, relative to an answer in time. Beyond the capacity of the
+	 * model (`npm run bench -- demand --only over`), 0.204 of the calls were late without this cost and 0.189 with it.
 	 */
 	readonly slotWorth: number;
-	/** While local load is low, a remote backend server looks longer by this part of the answer time. */
+	/** Extra cost of a remote backend server while local load is low, as a fraction of the mean answer time. */
 	readonly remoteReluctance: number;
-	/** A new or returned backend server gets its full part only after this time: caches are cold. 0 = at once. */
+	/**
+	 * Time after which a new or returned backend server gets its full share of calls, since its caches are cold. 0 = at
+	 * once.
+	 */
 	readonly warmingMilliseconds: Milliseconds;
-	/** Part of its calls that a new backend server gets at first, or it would never warm up. */
+	/**
+	 * Share of its slots that a new backend server is counted with at first. With none it would get no calls and never warm
+	 * up.
+	 */
 	readonly warmingStart: number;
-	/** First time out of a backend server that fell silent; doubles with each failed probe. */
+	/** Length of the first ejection of a backend server that stopped answering. It doubles with each failed probe. */
 	readonly ejectionMilliseconds: Milliseconds;
-	/** Longest time out: an ejected backend server is tried this often at least. */
+	/** Upper bound of an ejection: an ejected backend server is probed at least this often. */
 	readonly longestEjectionMilliseconds: Milliseconds;
-	/** Most of a service's backend servers out at once: the rest has to carry the load. */
+	/** Largest fraction of a service's backend servers that may be ejected at once; the others have to carry the load. */
 	readonly ejectablePart: number;
-	/** Failing part of all a service's calls from which on the cause is taken to be common: nobody is ejected. */
+	/**
+	 * Fraction of failing calls of a service above which the cause is taken to be common to all its backend servers, so
+	 * that none is ejected.
+	 */
 	readonly commonFailurePart: number;
-	/** Quantile of the answer time after which an idempotent read is tried a second time. 1 = never. */
+	/** Quantile of the answer time after which an idempotent read is hedged. 1 = never. */
 	readonly hedgeQuantile: number;
 	/**
-	 * No hedge before this time. A hedge ends a connection that a new one, about 1 ms, has to replace; below some
-	 * milliseconds the slow party is as likely this VM's own loop, and hedges would feed its delay.
+	 * Minimum delay of a hedge. A cancelled attempt costs its connection, and a new one takes about 1 ms; below some
+	 * milliseconds the delay is as likely caused by this VM's own event loop, and hedges would add to it.
 	 */
 	readonly hedgeFloorMilliseconds: Milliseconds;
-	/** Queued calls a slot at the backend servers that the concurrency limit aims at. Infinity = no limit. */
+	/**
+	 * Number of queued calls for each slot of the backend servers that the concurrency limit aims at. Infinity = no limit.
+	 */
 	readonly queuedPerSlot: number;
-	/** Factor on that for each step of a service's priority. 1 = priorities do not matter. */
+	/** Factor on the target queue length for each step of a service's priority. 1 = priorities have no effect. */
 	readonly priorityFactor: number;
-	/** A queue that has stood this long is no burst: from then on only short waits are accepted. */
+	/** A queue that has not been empty for this long is no burst: from then on only short waits are accepted. */
 	readonly standingMilliseconds: Milliseconds;
-	/** Part of its remaining time that a call may wait in a standing queue. */
+	/** Fraction of its remaining time that a call may wait in a standing queue. */
 	readonly standingWaitPart: number;
-	/** Classes of calls of one service whose cost is learnt apart. 0 = all calls cost alike. */
+	/** Maximum number of call classes of one service whose cost is learnt separately. 0 = one class for all calls. */
 	readonly callClasses: number;
-	/** Calls queued by turns of callers; false = in order of arrival. */
+	/** Whether queued calls are taken round-robin by caller; false = in order of arrival. */
 	readonly isFair: boolean;
 	/**
-	 * Backend servers asked before an attempt where measuring is on demand. Where a third of them is slowed by
-	 * neighbours, four leave one call in 67 without a quiet one (0.35 to the fourth); a fifth would cost a quarter more for one in 190.
+	 * On-demand measuring: maximum number of backend servers probed before an attempt. Where neighbours slow a third of
+	 * them down, four probes leave one call in 67 without a fast backend server (0.35 to the fourth power); a fifth probe
+	 * would cost a quarter more for one call in 190.
 	 */
 	readonly demandCandidates: number;
-	/** A report this young needs no new one: neighbours change in pieces of some hundred milliseconds. */
+	/**
+	 * Age up to which a load report is used without a new probe: neighbours change at intervals of some hundred
+	 * milliseconds.
+	 */
 	readonly demandFreshMilliseconds: Milliseconds;
-	/** Longest wait for reports: a way to another data centre and back is 3 ms, a busy event loop adds some. */
+	/** Maximum wait for load reports. A round trip to another data centre takes 3 ms, and a busy event loop adds some. */
 	readonly demandWaitMilliseconds: Milliseconds;
-	/** How long a fingerprint stays suspected or quarantined: a repaired backend server must get it again. */
+	/** How long a fingerprint stays suspected or quarantined: a repaired backend server must get such calls again. */
 	readonly suspicionMilliseconds: Milliseconds;
 };
 
-/** Defaults, chosen by the benchmark `policy`. */
+/** Defaults, chosen with the benchmark `policy`. */
 export const defaultTuning: CallTuning = {
 	slownessMemoryMilliseconds: 1500,
 	failureMemoryMilliseconds: 3000,
