--- a/src/common/calls/answer-learning.ts
+++ b/src/common/calls/answer-learning.ts
@@ -1,18 +1,18 @@
-/** What the answer to an attempt teaches: of its backend server, its class of call and its service. */
+/** Updates what is learnt about the backend server, the class of the call and the service when an attempt is answered. */
 import {type Instant} from '../model/units.ts';
 import {type Attempt} from './call.ts';
 import {roomyPart} from './load-levels.ts';
 import {type LoadReport} from './types.ts';
 
-/** Work time, against the usual, up to which a backend server's VM counts as quiet. */
+/** Work time, relative to the usual one, up to which a backend server's VM counts as quiet. */
 const maxQuietWorkTimeFactor = 1.2;
 
-/** Nothing slows the backend server down: neither neighbours nor its own load. */
+/** Whether neither neighbours nor its own load slow the backend server down. */
 function isQuiet({workTimeFactor = 1, inFlight, queued, slots}: LoadReport): boolean {
 	return workTimeFactor <= maxQuietWorkTimeFactor && inFlight + queued <= roomyPart * slots;
 }
 
-/** Takes in an answer that is no server error. */
+/** Learns from an answer that is not a server error. */
 export function learnFromAnswer(attempt: Attempt, report: LoadReport | undefined, now: Instant): void {
 	const {call, server, startedAt, prospect, signal, isWarmUp} = attempt;
 	server.noteTaken(true, now);
--- a/src/common/calls/call-classes.ts
+++ b/src/common/calls/call-classes.ts
@@ -1,27 +1,30 @@
-/** What calls cost, learnt by class: a service's calls of one method and route, or else of one path pattern, cost alike. */
+/**
+ * Cost of calls, learnt by class: a service's calls with the same method and route, or without a route the same path
+ * pattern, form a class.
+ */
 import {type Milliseconds} from '../model/units.ts';
 import {DecayingHistogram} from './decaying-histogram.ts';
 import {type CallRequest} from './types.ts';
 
-/** Paths whose pattern is remembered. */
+/** Maximum number of paths whose pattern is cached. */
 const maxCachedPaths = 512;
 
 /** Samples over which means and quantiles are taken. */
 const memorySamples = 500;
 
-/** Parts of a path that name one thing and not a kind of thing: with a digit, or long. */
+/** Path segments that identify a single item: with a digit, or at least 24 characters long. */
 const identifierPattern = /^(?:.*\d.*|.{24,})$/v;
 
-/** Segments of a path that tell classes apart. */
+/** Leading path segments that distinguish classes. */
 const significantSegments = 3;
 
-/** Cost of one class. */
+/** Cost of the calls of one class. */
 export class CallClass {
 	/** Mean time to the head of the answer. */
 	answerMean: Milliseconds;
-	/** Mean time that a slot is held: to the end of the answer. */
+	/** Mean time for which a slot is held: to the end of the answer. */
 	holdMean: Milliseconds;
-	/** Mean time of an answer at a backend server that nothing slows down; the mean of all until one was seen. */
+	/** Mean answer time at a backend server that nothing slows down; until such an answer was seen, the initial value. */
 	workMean: Milliseconds;
 	/** Mean size of a whole answer in bytes. */
 	answerBytesMean = 0;
@@ -29,7 +32,7 @@
 	private _count = 0;
 	private _workCount = 0;
 
-	/** Before the first answer the mean of the whole service stands in. */
+	/** `initialMilliseconds` stands in for all times before the first answer; it is the mean of the whole service. */
 	constructor(initialMilliseconds: Milliseconds) {
 		this.answerMean = initialMilliseconds;
 		this.holdMean = initialMilliseconds;
@@ -42,13 +45,13 @@
 		this.answerTimes.add(time);
 	}
 
-	/** An answer of a backend server with free slots and a quiet VM. */
+	/** Adds an answer of a backend server with free slots on a quiet VM. */
 	addWork(time: Milliseconds): void {
 		this._workCount++;
 		this.workMean += (time - this.workMean) / Math.min(this._workCount, memorySamples);
 	}
 
-	/** An answer has told how long the work takes. */
+	/** Whether the work time has been measured. */
 	get hasWork(): boolean {
 		return this._workCount > 0;
 	}
@@ -62,16 +65,16 @@
 	}
 }
 
-/** All classes of one service. */
+/** All call classes of one service. */
 export class CallClasses {
 	private readonly _classes = new Map<string, CallClass>();
-	/** Classes of routes, the one called last at the end. */
+	/** Classes of routes, least recently called first. */
 	private readonly _routes = new Map<string, CallClass>();
 	private readonly _patterns = new Map<string, string>();
 	private readonly _all: CallClass;
 	private readonly _maxClasses: number;
 
-	/** `most` = most classes kept: paths are made by callers, so their number must not grow with them. */
+	/** `maxClasses` = maximum number of classes kept: callers choose the paths, so memory must not grow with them. */
 	constructor(initialMilliseconds: Milliseconds, maxClasses: number) {
 		this._all = new CallClass(initialMilliseconds);
 		this._maxClasses = maxClasses;
@@ -82,7 +85,7 @@
 		return this._all;
 	}
 
-	/** The class of a call; calls without a route beyond the number of classes share the service's mean. */
+	/** The class of a call. Without a route, calls of new classes beyond the maximum share the mean of the service. */
 	classOf(request: CallRequest): CallClass {
 		if (request.rule !== undefined) {
 			return this._classOfRoute(`${request.method} ${request.rule.route}`);
@@ -102,9 +105,9 @@
 	}
 
 	/**
-	 * Guards a route that was just added: judged by what the calls of other routes have taken, its calls would be refused
-	 * as too long for its timeout while every backend server is idle, and never teach anything else. It starts knowing
-	 * nothing. Operators name routes and replace them, so of too many those that were not called for longest are forgotten.
+	 * A route has a class of its own from its first call. Judged by the calls of other routes, the calls of a new route
+	 * could be refused as too long for its timeout while every backend server is idle, so that nothing would ever be learnt
+	 * about it. Operators name routes and replace them, so beyond the maximum the least recently called one is dropped.
 	 */
 	private _classOfRoute(key: string): CallClass {
 		const existing = this._routes.get(key);
--- a/src/common/calls/caller-queue.ts
+++ b/src/common/calls/caller-queue.ts
@@ -1,28 +1,28 @@
-/** Calls of one service that wait on this VM, in an order that is fair to callers. */
+/** Queue of the calls of one service that wait on this VM, fair to callers. */
 import {type Call} from './call.ts';
 
-/** How a queue takes calls in and gives them out. */
+/** Queue discipline for waiting calls. */
 export type CallQueue = {
 	readonly size: number;
-	/** Calls that go before a new one of this caller. */
+	/** Number of calls that would be taken before a new one of this caller. */
 	aheadOf(caller: string): number;
 	add(call: Call): void;
-	/** The next one whose caller may start a call. */
+	/** Removes and returns the next call whose caller may start one. */
 	take(mayStart: (caller: string) => boolean): Call | undefined;
-	/** Takes out a call that ended while it waited. */
+	/** Removes a call that ended while it waited. */
 	remove(call: Call): void;
-	/** The call to give up when there is no room: the latest of the caller with the most. */
+	/** The call to refuse when the queue is full: the newest of the caller with the most waiting calls. */
 	latestOfGreediest(): Call | undefined;
 };
 
 /**
- * Takes callers by turns, one call each. Made for one caller that sends as much as all others together:
- * in order of arrival its backlog would be everybody's wait. Turns count calls and not their cost, since
- * the cost of a class is known only after it has run.
+ * Round-robin over callers, one call each. In order of arrival, a single caller that sends as much as all others together
+ * would make everybody wait for its backlog. A turn counts calls and not their cost, since the cost is known only after
+ * the call has run.
  */
 export class FairCallQueue implements CallQueue {
 	private readonly _queues = new Map<string, Call[]>();
-	/** Callers with waiting calls; the first is next. */
+	/** Callers with waiting calls; the first one is next. */
 	private _callerOrder: string[] = [];
 	private _size = 0;
 
@@ -100,7 +100,7 @@
 	}
 }
 
-/** Order of arrival: what the fair order is compared with. */
+/** Queue in order of arrival, as a baseline for the fair order. */
 export class ArrivalOrderQueue implements CallQueue {
 	private readonly _calls: Call[] = [];
 
--- a/src/common/calls/concurrency-limit.ts
+++ b/src/common/calls/concurrency-limit.ts
@@ -1,61 +1,64 @@
-/** How many attempts of one service this VM keeps at backend servers at once. */
+/** Limit on the number of attempts of one service that this VM has in flight at once. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 
-/** Signs of congestion and calls in flight as an answer comes in. */
+/** Input of the limit for each answer: calls in flight, and the queue at the backend server. */
 export type LimitSample = {
 	/** Attempts of the service in flight on this VM. */
 	readonly inFlight: number;
-	/** Calls queued at the answering backend server, for each of its slots. */
+	/** Calls queued at the answering backend server for each of its slots. */
 	readonly queuedPerSlot: number;
 };
 
-/** Bounds of the limit, from what is declared. */
+/** Declared values from which the bounds of the limit are computed. */
 export type LimitBounds = {
 	/** Slots of the service's backend servers. */
 	readonly slots: number;
 	readonly vmCount: number;
 };
 
-/** Decides how many attempts may be in flight. */
+/** Controls how many attempts may be in flight. */
 export type ConcurrencyLimit = {
 	readonly value: number;
-	/** Calls are waiting at backend servers for longer than chance makes them. */
+	/** Whether queues at backend servers are longer than random variation explains. */
 	readonly isCongested: boolean;
 	setBounds(bounds: LimitBounds): void;
-	/** Queued calls a slot that are aimed at; enough to keep slots busy between two answers. */
+	/** Sets the number of queued calls per slot to aim at; it should keep slots busy between two answers. */
 	setTarget(target: number): void;
 	onAnswer(sample: LimitSample, now: Instant): void;
 	/** A backend server has shed an attempt. */
 	onShed(): void;
 };
 
-/** Part of the limit that must be in use before it grows beyond its resting value. */
+/** Fraction of the limit that must be in use before it grows beyond its baseline. */
 const minUsedFraction = 0.8;
 
-/** Largest part that one answer takes off the limit: one slow backend server must not close it. */
+/** Largest fraction by which one answer reduces the limit: a single slow backend server must not close it. */
 const maxDecreaseFraction = 0.01;
 
-/** In calm the limit rests at this many times the VM's even part of the slots: callers' choice of VMs is uneven. */
+/**
+ * Without congestion the limit stays at this many times the VM's even share of the slots, since callers spread unevenly
+ * over VMs.
+ */
 const baselineFactor = 4;
 
-/** How fast it comes back to rest, for each answer without congestion. */
+/** Additive step back towards the baseline for each answer without congestion. */
 const recoveryStep = 0.25;
 
-/** Part of a new answer in the mean queue: one backend server's empty queue is no end of congestion. */
+/** Weight of a new answer in the mean queue length: the empty queue of one backend server does not end congestion. */
 const queueSmoothing = 0.05;
 
-/** Congestion shorter than this is a rush: it is over before its queue costs a caller its deadline. */
+/** Congestion shorter than this counts as a burst: it is over before its queue makes a caller miss its deadline. */
 const maxBurstMilliseconds: Milliseconds = 100;
 
-/** Queued calls a slot that a rush may bring: three answer times of waiting. */
+/** Queued calls per slot that are tolerated during a burst: three answer times of waiting. */
 const burstTarget = 3;
 
 /**
- * Additive increase, multiplicative decrease on the queue that answers report. Made for a load above
- * capacity: calls that wait at backend servers cannot be refused, reordered or moved any more, and work
- * whose caller has gone fills the slots. A rush is let through up to a point, since calls held back on
- * one VM cannot use the slots that another VM's calls leave free. VMs that share backend servers come to
- * fair parts without talking: all see the same queues, and the larger one gives up more.
+ * Additive increase, multiplicative decrease (AIMD) on the queue length that answers report. Made for a load above
+ * capacity: calls that wait at backend servers can no longer be refused, reordered or moved, and work whose caller has
+ * gone fills the slots. A burst is let through up to a point, since calls held back on one VM cannot use the slots that
+ * another VM's calls leave free. VMs that share backend servers converge to fair shares without communication: all see
+ * the same queues, and the one with the larger limit reduces it more.
  */
 export class AdaptiveConcurrencyLimit implements ConcurrencyLimit {
 	private _target: number;
@@ -83,7 +86,7 @@
 		const evenShare = bounds.slots / Math.max(1, bounds.vmCount);
 		this._min = Math.max(1, evenShare / 4);
 		this._baseline = Math.max(1, baselineFactor * evenShare);
-		// One VM may come to carry a whole service; more than all slots and as many queued is never of use.
+		// One VM may carry a whole service; more calls than all slots and as many queued ones are never useful.
 		this._max = Math.max(this._baseline, 2 * bounds.slots);
 		if (!this._hasBounds) {
 			this._value = this._baseline;
--- a/src/common/calls/decaying-histogram.ts
+++ b/src/common/calls/decaying-histogram.ts
@@ -1,22 +1,22 @@
-/** Quantiles of answer times, of which the older ones count less and less. */
+/** Quantiles of answer times with exponentially decaying weights. */
 import {type Milliseconds} from '../model/units.ts';
 
-/** Each bucket is wider than the one before by this factor: quantiles are right to within 10%. */
+/** Ratio of the widths of neighbouring buckets: quantiles are accurate to within 10%. */
 const bucketGrowth = 1.1;
 
 /** Upper end of the first bucket. */
 const firstBucketMilliseconds: Milliseconds = 0.1;
 
-/** Reaches from 0.1 ms to 1.4 hours. */
+/** Covers 0.1 ms to 1.4 hours. */
 const bucketCount = 190;
 
-/** Weights are scaled down before the newest one gets larger than a float can hold beside the oldest. */
+/** Weights are scaled down above this value, before a float can no longer represent the oldest beside the newest. */
 const rescaleAbove = 1e6;
 
-/** Samples between two computations of a remembered quantile: reading all buckets for each call is too dear. */
+/** Samples between two computations of the cached quantile: reading all buckets for each call is too expensive. */
 const samplesPerRecompute = 16;
 
-/** A histogram with logarithmic buckets. Older samples fade by giving newer ones more weight. */
+/** A histogram with logarithmic buckets. Older samples decay, since each new sample gets a larger weight. */
 export class DecayingHistogram {
 	private readonly _weights = new Float64Array(bucketCount);
 	private readonly _weightGrowth: number;
@@ -27,12 +27,12 @@
 	private _cachedAtCount = -1;
 	private _cachedValue: Milliseconds = 0;
 
-	/** `memory` is the number of samples after which one counts for a third of a new one. */
+	/** `memorySamples` = number of samples after which one has a third of the weight of a new one. */
 	constructor(memorySamples: number) {
 		this._weightGrowth = 1 + (1 / memorySamples);
 	}
 
-	/** Samples taken in all. */
+	/** Number of samples added in total. */
 	get count(): number {
 		return this._count;
 	}
@@ -48,7 +48,7 @@
 		}
 	}
 
-	/** The value below which the given part of the samples lies; undefined while there is none. */
+	/** The value below which the given fraction of the samples lies; undefined while there is none. */
 	quantile(fraction: number): Milliseconds | undefined {
 		if (this._count === 0) {
 			return undefined;
--- a/src/common/calls/demand-allowance.ts
+++ b/src/common/calls/demand-allowance.ts
@@ -1,23 +1,29 @@
-/** How often this VM may measure one backend server on demand. */
+/** Limit on how often this VM may probe one backend server on demand. */
 import {type Instant} from '../model/units.ts';
 import {type MeasuringBudget} from './measuring-schedule.ts';
 
-/** Most measuring calls saved up, in seconds of the allowed pace: a rush may spend a second's worth at once, not an hour's. */
+/**
+ * Capacity of the bucket, as time at the allowed rate: a burst may use the probes of one second at once, but not those of
+ * an hour.
+ */
 const maxSavedMilliseconds = 1000;
 
-/** At least two, or a pace below one a second would never let two calls in a row be placed by what is measured. */
+/**
+ * Minimum capacity: with a rate below one per second, two calls in a row could otherwise never be placed by fresh
+ * reports.
+ */
 const minCapacity = 2;
 
 /**
- * A token bucket over the VM's even part of the fleet's budget. Guards the budget in a rush, when every call asks
- * for candidates: it would show as backend servers that answer more measuring calls than calls. No share is claimed
- * for it, since the budget is an average; VMs that disagree on their number for a few seconds do not break it.
+ * Token bucket over the VM's even share of the fleet's measuring budget. It bounds load probes in a burst, when every
+ * call probes its candidates and a backend server could get more probes than calls. The budget is an average, so no share
+ * of it is claimed, and VMs that briefly disagree on their number do not violate it.
  */
 export class DemandAllowance {
 	private _tokens = minCapacity;
 	private _refilledAt: Instant | undefined;
 
-	/** Takes one measuring call off; false = the allowance is spent. */
+	/** Takes a token for one load probe; false = none is left. */
 	tryTake(budget: MeasuringBudget, vmCount: number, now: Instant): boolean {
 		const tokensPerMillisecond = budget.callsPerWindow / budget.windowMilliseconds / Math.max(1, vmCount);
 		const capacity = Math.max(minCapacity, tokensPerMillisecond * maxSavedMilliseconds);
--- a/src/common/calls/hedging.ts
+++ b/src/common/calls/hedging.ts
@@ -1,57 +1,67 @@
-/** Second attempts beside a first one that is slow: when one is planned, and whether it is made. */
+/** Hedging: second attempts beside a first one that is slow. Plans when a hedge is due and decides whether it is sent. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {
 	type Attempt, type Call, isBodiless, workEstimate,
 } from './call.ts';
 import {type EngineContext} from './engine-context.ts';
 
-/** Most attempts of one call, whatever the budget says: three backend servers that fail it are no accident. */
+/**
+ * Maximum attempts of one call, independent of the retry budget: a call that three backend servers fail is unlikely to
+ * succeed on another.
+ */
 export const mostAttempts = 3;
 
-/** Answers of a class before its quantile is good enough to hedge by. */
+/** Answers of a class that are required before its quantile is used for hedging. */
 const minHedgeSamples = 50;
 
-/** Usual answer times that a hedge is given before the objective: nine in ten answers of a quiet backend server fit. */
+/**
+ * A hedge is planned this many usual answer times before the objective: nine in ten answers of a quiet backend server
+ * arrive within that time.
+ */
 const hedgeReserveFactor = 1.35;
 
-/** No hedge before this many usual answer times: three in four calls have been answered by then. */
+/** Minimum delay of a hedge in usual answer times: three in four calls have been answered by then. */
 const minHedgeDelayFactor = 1.25;
 
-/** Chance of an answer in time, among attempts without one so far, above which a second attempt is not worth its slot. */
+/**
+ * Probability of an answer in time, given that none has come so far, above which a second attempt is not worth its slot.
+ */
 const sufficientProbability = 0.8;
 
 /**
- * Part of attempts whose answer does not come for reasons that no answer time tells: lost connections, backend servers
- * that hang, neighbours that come in the middle. It decides how soon silence counts as such.
+ * Fraction of attempts whose answer is missing for reasons outside the answer time model: lost connections, backend
+ * servers that hang, neighbours that start during the call. It determines how soon a missing answer is attributed to such
+ * a reason.
  */
 const lostAnswerFraction = 0.03;
 
-/** Pause until a hedge that was not worth it is looked at again: an eighth of the shortest usual answer. */
+/** Interval of the checks of a postponed hedge: an eighth of the shortest usual answer time. */
 const hedgeRecheckMilliseconds: Milliseconds = 20;
 
 /**
- * Where measuring is on demand, slow phases hit a tenth of all calls and more, so that a high quantile is itself the time
- * of a slow one. A call is then tried again as long as a usual answer still comes within its objective.
+ * Delay of a hedge in on-demand mode. There, slow phases affect a tenth of all calls and more, so that a high quantile is
+ * itself the time of a slow call. The hedge is therefore sent while a usual answer still arrives within the objective.
  */
 function hedgeDelay(call: Call, now: Instant): Milliseconds {
 	const usualMilliseconds = workEstimate(call);
 	return Math.max(call.objectiveAt - (usualMilliseconds * hedgeReserveFactor) - now, usualMilliseconds * minHedgeDelayFactor);
 }
 
-/** Hedges: the runner starts them, this decides on them. */
+/** Decides on hedges; the attempt runner starts them. */
 export class Hedging {
 	private readonly _context: EngineContext;
 	private readonly _start: (call: Call, now: Instant) => boolean;
 
-	/** `start` begins a second attempt of the call; false = no backend server may take it now. */
+	/** `start` starts a second attempt of the call; false = no backend server may get it now. */
 	constructor(context: EngineContext, start: (call: Call, now: Instant) => boolean) {
 		this._context = context;
 		this._start = start;
 	}
 
 	/**
-	 * Hedging is for single slow backend servers and lost connections; its limit is the retry budget, and
-	 * it rests while calls wait, since in a rush a second attempt takes the slot of somebody's first.
+	 * Plans a hedge for an idempotent call without a body. Hedges help against single slow backend servers and lost
+	 * connections. They are limited by the retry budget and not sent while calls are queued, since in a burst a second
+	 * attempt takes the slot of another call's first one.
 	 */
 	plan(attempt: Attempt, now: Instant): void {
 		const {call} = attempt;
@@ -70,7 +80,7 @@
 		}
 	}
 
-	/** A read that is slower than nearly all of its class gets a second chance elsewhere. */
+	/** Sends the planned hedge if it is allowed: the call is slower than nearly all of its class. */
 	tryNow(attempt: Attempt, now: Instant): void {
 		const {call} = attempt;
 		const service = call.serviceState;
@@ -90,8 +100,9 @@
 	}
 
 	/**
-	 * Guards slots in a rush: a call in the last slot of a backend server takes half as long again, and a second attempt
-	 * after the usual time would take a slot from somebody else for an answer that is on its way.
+	 * Whether the first attempt is still likely to be answered in time. A call in the last slot of a backend server takes
+	 * half as long again; a hedge after the usual time would take a slot from another call for an answer that is about to
+	 * arrive.
 	 */
 	private _isFirstAnswerLikely({call, prospect, startedAt}: Attempt, now: Instant): boolean {
 		if (!call.serviceState.isMeasuredOnDemand) {
--- a/src/common/calls/load-levels.ts
+++ b/src/common/calls/load-levels.ts
@@ -1,7 +1,10 @@
-/** From where on a backend server is slower than usual, by what it says of itself. */
+/** Thresholds of load and work time from which a backend server counts as slowed down. */
 
-/** Part of its slots, one more call counted, up to which a backend server does not slow itself down. */
+/** Fraction of its slots, including one more call, up to which a backend server is not slowed down by its own load. */
 export const roomyPart = 0.8;
 
-/** Work time against the usual from which neighbours slow a backend server down: twice what spread alone explains. */
+/**
+ * Work time relative to the usual one from which a backend server counts as slowed down by neighbours: twice what random
+ * spread alone explains.
+ */
 export const slowFrom = 1.6;
--- a/src/common/calls/load-prober.ts
+++ b/src/common/calls/load-prober.ts
@@ -8,50 +8,50 @@
 
 /** Load probes that one attempt waits for. */
 export type PendingProbes = {
-	/** What the attempt is for. */
+	/** Purpose of the attempt. */
 	readonly purpose: AttemptPurpose;
-	/** Why the call is refused if nothing can be found for it. */
+	/** Reason for refusing the call if no backend server is found for it. */
 	readonly reason: RefusalReason;
 	readonly candidates: readonly BackendServerState[];
-	/** Candidates whose report is still to come. */
+	/** Candidates whose report is still outstanding. */
 	readonly awaited: Set<BackendServerState>;
-	/** Backend servers that were probed for this attempt so far, those of earlier rounds among them. */
+	/** Backend servers probed for this attempt so far, including earlier rounds. */
 	readonly probed: ReadonlySet<BackendServerState>;
-	/** Rounds of probes, this one counted. */
+	/** Number of rounds of probes, including this one. */
 	readonly round: number;
 	readonly startedAt: Instant;
 };
 
 /**
- * Most rounds of probes for one attempt: the own data centre, the others, and once more, since those that were probed
- * may all be slow or full, or a fault may have hit just them.
+ * Maximum rounds of probes for one attempt: the local data centre, the others, and once more, since those probed so far
+ * may all be slow or full, or affected by a fault.
  */
 const maxRounds = 3;
 
 /** What an attempt is planned for. */
 export type ProbingPlan = Pick<PendingProbes, 'purpose' | 'reason'>;
 
-/** What the prober needs from its surroundings. */
+/** Dependencies of the prober. */
 export type LoadProberOptions = {
 	readonly context: EngineContext;
 	readonly placer: DemandPlacer;
-	/** Sends a load probe; its end is told by `onMeasured`. */
+	/** Sends a load probe; its end is reported by calling `onMeasured`. */
 	readonly measure: (server: BackendServerState) => void;
-	/** The reports are there, or as many as came in time. */
+	/** Called when all reports, or as many as came in time, are available. */
 	readonly onReady: (call: Call, probing: PendingProbes, now: Instant) => void;
 };
 
 /**
- * On-demand probing for load that moves within milliseconds: neighbours make work take several times as long for half a
- * second, so a report is of use only while it is younger. Candidates with a young report are not probed again, and calls
- * that want the same backend server at the same moment share one probe.
+ * On-demand probing for load that changes within milliseconds: neighbours slow work down several times for half a second,
+ * so a report is useful only while it is more recent than that. Candidates with a fresh report are not probed again, and
+ * calls that need the same backend server at the same moment share one probe.
  */
 export class LoadProber {
 	private readonly _context: EngineContext;
 	private readonly _placer: DemandPlacer;
 	private readonly _measure: (server: BackendServerState) => void;
 	private readonly _onReady: LoadProberOptions['onReady'];
-	/** Calls that wait for a backend server's report. */
+	/** Calls that wait for a report, by backend server. */
 	private readonly _waiting = new Map<BackendServerState, Set<Call>>();
 
 	constructor(options: LoadProberOptions) {
@@ -61,12 +61,12 @@
 		this._onReady = options.onReady;
 	}
 
-	/** Begins to fetch reports for an attempt; `onReady` follows, at once where all is known. */
+	/** Starts to fetch reports for an attempt. `onReady` follows, synchronously if no report has to be awaited. */
 	begin(call: Call, plan: ProbingPlan, now: Instant): void {
 		this._start(call, plan, {round: 1, probed: new Set(), startedAt: now}, now);
 	}
 
-	/** A measuring call on demand has ended, with or without a report. */
+	/** A load probe has ended, with or without a report. */
 	onMeasured(server: BackendServerState, now: Instant): void {
 		server.measuringSince = undefined;
 		const calls = this._waiting.get(server);
@@ -79,7 +79,7 @@
 		}
 	}
 
-	/** The time to wait for reports is over. */
+	/** The wait for reports has timed out. */
 	expire(call: Call, probing: PendingProbes, now: Instant): void {
 		if (call.probing === probing) {
 			for (const server of probing.awaited) {
@@ -111,7 +111,10 @@
 		call.timers.push(this._context.timers.add(now + this._context.tuning.demandWaitMilliseconds, {type: 'probing', call, probing}));
 	}
 
-	/** Whether a report of this backend server is on its way; sends for one where the last is old. */
+	/**
+	 * Whether a report of this backend server is on its way. Sends a probe if the latest report is too old and the
+	 * allowance permits.
+	 */
 	private _ensureProbe(server: BackendServerState, call: Call, now: Instant): boolean {
 		const {demandFreshMilliseconds} = this._context.tuning;
 		const isWarmUpReported = call.serviceState.warmUp === undefined || server.warmUp.isKnown(now);
@@ -138,10 +141,13 @@
 		this._waiting.set(server, calls);
 	}
 
-	/** Those that were asked have answered, or the time for it is over: others are asked where these have no good place. */
+	/**
+	 * All probes of the round have ended or timed out. Starts another round of probes if no suitable backend server was
+	 * found.
+	 */
 	private _finish(call: Call, probing: PendingProbes, now: Instant): void {
 		call.probing = undefined;
-		// Two rounds in which somebody was silent are the longest that a call may be held for reports.
+		// With two rounds that timed out, a call has been held for reports as long as allowed.
 		const mayProbeAgain = probing.round < maxRounds && probing.candidates.length > 0 && now - probing.startedAt <= this._context.tuning.demandWaitMilliseconds;
 		if (mayProbeAgain && !this._placer.hasGoodPlace(call, now)) {
 			this._start(call, probing, {...probing, round: probing.round + 1}, now);
--- a/src/common/calls/measuring-schedule.ts
+++ b/src/common/calls/measuring-schedule.ts
@@ -1,41 +1,41 @@
-/** When this VM may measure one backend server, and when that is worth it. */
+/** Schedule of this VM's paced measuring calls to one backend server. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type FleetShares} from './types.ts';
 
-/** What an operator allows for a backend server, for all VMs together. */
+/** Measuring budget that an operator sets for a backend server, for all VMs together. */
 export type MeasuringBudget = {
 	readonly callsPerWindow: number;
 	readonly windowMilliseconds: Milliseconds;
-	/** 0 = as little as possible, 1 = the whole budget. */
+	/** 0 = as few calls as possible, 1 = the whole budget. */
 	readonly tailWeight: number;
 };
 
-/** Longest a measuring call may be under way; also the margin by which windows are stretched. */
+/** Maximum duration of a measuring call; also the margin that is added to windows. */
 export const measuringTimeout: Milliseconds = 50;
 
-/** Part of the budget spent at a tail weight of 0: an idle service must not lose all knowledge. */
+/** Fraction of the budget that is spent at a tail weight of 0: an idle service must keep some data. */
 const minBudgetFraction = 0.05;
 
 /**
- * An idle service is measured this much less often: nobody places by what is learnt, and a VM that holds 19,000
- * backend servers of services that it hardly carries would spend a core on them. Enough is kept to notice
- * one that is slow or leaves, and the first call brings the full pace back.
+ * Factor on the spacing for an idle service. Its reports are not used for placement, and a VM with 19,000 backend servers
+ * of services that it hardly carries would spend a core on measuring them. The remaining calls suffice to notice a
+ * backend server that is slow or leaves, and the first call of the service restores the full rate.
  */
 const idleSpacingFactor = 30;
 
-/** What speaks for and against a measuring call. */
+/** Input for the decision whether a measuring call is due. */
 export type MeasuringNeed = {
-	/** When the youngest knowledge was made. */
+	/** When the newest report was made. */
 	readonly at: Instant;
-	/** No call of the service has come here lately. */
+	/** Whether no call of the service has come to this VM lately. */
 	readonly isIdle: boolean;
 };
 
 /**
- * Paces measuring calls by time, so that a rush cannot raise their number. Sent at least
- * (window + timeout) / allowed apart, no window of that length at the sender holds more than `allowed`;
- * a call arrives within its timeout of being sent or not at all, so no window at the backend server does
- * either. The parts of all VMs add up to at most 1, hence so do their calls.
+ * Spaces measuring calls evenly in time, so that a burst of calls cannot raise their number. They are sent at least
+ * (window + timeout) / allowed apart, so no window of that length at the sender holds more than `allowed`. A call arrives
+ * within its timeout or not at all, so the same holds for every window at the backend server. The shares of all VMs add
+ * up to at most 1, so the sum of their calls stays within the budget too.
  */
 export class MeasuringSchedule {
 	private _lastSentAt: Instant = -Infinity;
@@ -49,20 +49,19 @@
 			return 0;
 		}
 
-		// A part of less than one call gives none: rounded up, sixteen VMs would spend sixteen calls.
+		// A share of less than one call gives none: rounded up, sixteen VMs would send sixteen calls.
 		return Math.floor((shares.measuringPart * budget.callsPerWindow) + 1e-9);
 	}
 
-	/** Time between two calls that the operator wants, never below what the budget demands. */
+	/** Time between two calls by the operator's tail weight, never below what the budget requires. */
 	static spacing(budget: MeasuringBudget, allowed: number): Milliseconds {
 		const budgetFraction = minBudgetFraction + ((1 - minBudgetFraction) * budget.tailWeight);
 		return (budget.windowMilliseconds + measuringTimeout) / allowed / budgetFraction;
 	}
 
 	/**
-	 * When to look at this backend server again: not before the spacing has passed, and not while what
-	 * is known is younger than a spacing, since free knowledge makes a measuring call a waste.
-	 * Undefined while nothing may be spent.
+	 * When the next measuring call is due: one spacing after the last call, and one spacing after the newest report, since
+	 * a report that came with an answer makes a measuring call redundant. Undefined while no call is allowed.
 	 */
 	dueAt(budget: MeasuringBudget, shares: FleetShares | undefined, need: MeasuringNeed, now: Instant): Instant | undefined {
 		const allowed = MeasuringSchedule.allowed(budget, shares, now);
@@ -75,15 +74,15 @@
 	}
 
 	/**
-	 * Starts it. `phase` (0 to 1) = part of the first spacing to wait: VMs that start together must not
-	 * measure together, nor may a start cost more than any other time.
+	 * Starts the schedule. `phase` (0 to 1) = fraction of the first spacing to wait, so that VMs that start together do not
+	 * measure at the same moment, and a start causes no more calls than any other time.
 	 */
 	start(now: Instant, phase: number): void {
 		this._startedAt = now;
 		this._phase = phase;
 	}
 
-	/** Notes a measuring call; false = the budget forbids it now, whoever asked for it. */
+	/** Records a measuring call; false = the budget forbids it now, whatever the reason for the call. */
 	trySpend(budget: MeasuringBudget, shares: FleetShares | undefined, now: Instant): boolean {
 		const allowed = MeasuringSchedule.allowed(budget, shares, now);
 		if (allowed === 0 || now < this._lastSentAt + ((budget.windowMilliseconds + measuringTimeout) / allowed)) {
--- a/src/common/calls/moving-average.ts
+++ b/src/common/calls/moving-average.ts
@@ -1,10 +1,13 @@
-/** An exponentially weighted moving average that starts from an assumption. */
+/** Exponentially weighted moving average with an initial value. */
 export class MovingAverage {
 	private _value: number;
 	private _weight: number;
 	private readonly _memorySamples: number;
 
-	/** `assumed` counts like `assumedSamples` samples; after `memory` samples an older one counts for a third. */
+	/**
+	 * `initialValue` has the weight of `initialSamples` samples; after `memorySamples` samples an older one has a third of
+	 * its weight.
+	 */
 	constructor(initialValue: number, initialSamples: number, memorySamples: number) {
 		this._value = initialValue;
 		this._weight = initialSamples;
--- a/src/common/calls/rate-limit.ts
+++ b/src/common/calls/rate-limit.ts
@@ -1,45 +1,57 @@
-/** The rate limit that a backend server names in its answers, as far as it binds this VM. */
+/** Rate limit that a backend server announces in its answers, as far as it applies to this VM. */
 import {type Instant} from '../model/units.ts';
 import {type RateShare} from './rate-quota.ts';
 import {type RateLimitNotice} from './types.ts';
 
-/** One attempt is one token; fewer would keep a VM with a small share from ever starting one. */
+/**
+ * Tokens for one attempt, and the minimum capacity of the bucket: in a smaller one, a VM with a small share could never
+ * save up a token.
+ */
 const tokensPerAttempt = 1;
 
-/** A quick VM may save up its share of this many seconds. */
+/** Capacity of the bucket, in seconds of the VM's share. */
 const maxSavedSeconds = 0.25;
 
 const millisecondsPerSecond = 1000;
 
-/** What an answer changed. */
+/** Effect of an answer on the rate limit. */
 export type RateLimitChange = 'named' | 'changed' | 'ended' | 'unreadable' | 'none';
 
-/** A token bucket of this VM's share. The backend server's limit holds for all VMs together, until an answer names none. */
+/**
+ * Token bucket with this VM's share of the limit. The backend server announces one limit for all VMs together; it holds
+ * until an answer comes without one.
+ */
 export class RateLimit {
 	private _callsPerSecond: number | undefined;
 	private _announcedAt: Instant = -Infinity;
 	private _isUnreadable = false;
-	/** Whether load probes name the limit too, since it was first named: if not, one without says nothing. */
+	/**
+	 * Whether load probes have announced the limit too since it was first announced; if not, a probe without one means
+	 * nothing.
+	 */
 	private _isAnnouncedByProbes = false;
 	private _tokens: number | undefined;
 	private _refilledAt: Instant = 0;
 
-	/** Calls a second that it takes from all VMs together; undefined = it names no limit. */
+	/** Calls per second that the backend server accepts from all VMs together; undefined = no limit. */
 	get callsPerSecond(): number | undefined {
 		return this._callsPerSecond;
 	}
 
-	/** Whether load probes tell when the limit ends. */
+	/** Whether load probes show when the limit ends. */
 	get isNamedByProbes(): boolean {
 		return this._isAnnouncedByProbes;
 	}
 
-	/** Takes what the answer to an attempt says; one that started before the limit was named may have been answered before. */
+	/**
+	 * Applies the answer to an attempt. One without a limit is ignored if the attempt started before the limit was
+	 * announced, since the answer may be older than the announcement.
+	 */
 	noteAnswer(notice: RateLimitNotice | undefined, startedAt: Instant, now: Instant): RateLimitChange {
 		return notice === undefined && startedAt <= this._announcedAt ? 'none' : this._apply(notice, now);
 	}
 
-	/** Takes what a load probe's response says. */
+	/** Applies the response to a load probe. */
 	noteProbe(notice: RateLimitNotice | undefined, now: Instant): RateLimitChange {
 		if (notice === undefined && !this._isAnnouncedByProbes) {
 			return 'none';
@@ -50,12 +62,12 @@
 		return change;
 	}
 
-	/** No further attempt of this VM may start now. */
+	/** Whether no further attempt of this VM may start now. */
 	isSpent(share: RateShare, now: Instant): boolean {
 		return this._callsPerSecond !== undefined && this._refill(share, now) < tokensPerAttempt;
 	}
 
-	/** An attempt of this VM starts. */
+	/** Takes the token of an attempt that starts. */
 	take(share: RateShare, now: Instant): void {
 		if (this._callsPerSecond !== undefined) {
 			this._tokens = Math.max(0, this._refill(share, now) - tokensPerAttempt);
--- a/src/common/calls/rate-quota.ts
+++ b/src/common/calls/rate-quota.ts
@@ -1,45 +1,53 @@
-/** How much of a rate that all VMs share this VM may use, at a backend server that warms up or names a rate limit. */
+/**
+ * Divides a rate that all VMs share, on a backend server that warms up or announces a rate limit, and gives this VM's
+ * share.
+ */
 import {chooseByRank} from '../fleet/membership/rendezvous.ts';
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type BackendServerIdentity, type FleetMembers} from './types.ts';
 
-/** VMs that share a warming backend server's rate: more than one, so that its warm-up survives the loss of a VM. */
+/**
+ * Number of VMs that share a warming backend server's rate: more than one, so that the warm-up continues when a VM fails.
+ */
 const ownersPerServer = 3;
 
 /**
- * A VM that has just started may know few of the others, and would take itself for the owner of all. Entries of a fleet
- * that starts together are known to all within this time.
+ * A VM that has just started may know few of the others and would take itself for the owner of every backend server. When
+ * a fleet starts together, all VMs have each other's entries within this time.
  */
 const settlingMilliseconds: Milliseconds = 3000;
 
-/** VMs that own a named rate limit, at least: it is in use while most of them have no calls. */
+/** Minimum number of VMs that own an announced rate limit, so that it is used even while most of them have no calls. */
 const minOwnersOfLimit = 3;
 
-/** Calls a second of a named limit for each owner. Each owner may start one attempt at once beyond its share. */
+/** Calls per second of an announced limit for each owner. Each owner may start one attempt at once beyond its share. */
 const callsPerSecondPerOwner = 1;
 
 /**
- * Part of a named limit that is left to VMs which own nothing of it: with a call now and then they learn from its answer that
- * the limit has ended.
+ * Fraction of an announced limit for VMs that do not own it: with an occasional call they learn from its answer that the
+ * limit has ended.
  */
 const nonOwnerFraction = 0.1;
 
-/** Values of a hash. */
+/** Number of values of a hash. */
 const hashRange = 2 ** 32;
 
-/** A hash as a number from 0 to below 1. */
+/** Maps a hash to a number from 0 to below 1. */
 function hashFraction(hash: number): number {
 	return (((hash % hashRange) + hashRange) % hashRange) / hashRange;
 }
 
-/** This VM's share of a named limit. */
+/** This VM's share of an announced limit. */
 export type RateShare = {
 	readonly callsPerSecond: number;
-	/** Attempts that it may start at once when it learns of the limit; below 1, it waits until one has added up. */
+	/**
+	 * Attempts that it may start at once when the limit is first announced to it. Below 1, the first attempt waits until a
+	 * whole token has accumulated.
+	 */
 	readonly firstTokens: number;
 };
 
-/** The backend server in question. */
+/** The backend server whose rate is divided. */
 export type SharedServer = {
 	readonly identity: BackendServerIdentity;
 	readonly dataCentre: string;
@@ -47,11 +55,13 @@
 
 /** Divides a rate that all VMs share. */
 export type RateQuota = {
-	/** Takes the VMs that are known to serve. */
+	/** Sets the VMs that currently serve. */
 	setMembers(members: FleetMembers, now: Instant): void;
-	/** Attempts that this VM may start there in any second. `rate` = what all VMs together may start. */
+	/** Attempts that this VM may start there in any second. `rate` = attempts per second of all VMs together. */
 	attemptsPerSecond(server: SharedServer, rate: number, now: Instant): number;
-	/** This VM's share of a limit that the backend server has named. `rate` = calls a second from all VMs together. */
+	/**
+	 * This VM's share of a limit that the backend server has announced. `rate` = calls per second from all VMs together.
+	 */
 	shareOfLimit(server: SharedServer, rate: number, now: Instant): RateShare;
 };
 
@@ -71,9 +81,10 @@
 }
 
 /**
- * A few VMs of a backend server's data centre own its rate and share it; the others leave it. All choose the
- * same owners without a message, by rendezvous hashing. VMs whose lists differ choose others: each wrong list adds at
- * most an owner's share, where an even division of the rate over all VMs would leave each of them less than one call.
+ * A few VMs of a backend server's data centre own its rate and share it; the others use none or little of it. All VMs
+ * compute the same owners without communication, by rendezvous hashing. A VM with a different member list computes
+ * different owners, which adds at most one owner's share to the sum. An even division over all VMs would leave each less
+ * than one call.
  */
 export class OwnerRateQuota implements RateQuota {
 	private readonly _hash: (text: string) => number;
@@ -115,7 +126,7 @@
 		return share;
 	}
 
-	/** More owners for a larger limit: a few VMs of a large fleet have no use for it. */
+	/** The number of owners grows with the limit: a few VMs of a large fleet could not use a large limit. */
 	private _limitShare({identity, dataCentre}: SharedServer, rate: number, {own, byDataCentre}: FleetMembers): RateShare {
 		const count = Math.max(minOwnersOfLimit, Math.ceil(rate / callsPerSecondPerOwner));
 		const localVms = byDataCentre.get(dataCentre) ?? [];
--- a/src/common/calls/report-trust.ts
+++ b/src/common/calls/report-trust.ts
@@ -1,22 +1,22 @@
-/** Whether a service's load reports are of use, learnt from what became of the calls placed by them. */
+/** Learns whether a service's load reports are useful, from the answer times of the calls that were placed by them. */
 
-/** Answers over which the relation is learnt. */
+/** Number of answers over which the regression is computed. */
 const memorySamples = 400;
 
-/** Relation assumed at first, and its weight in answers: reports are trusted until they mislead. */
+/** Initial slope, and its weight as a variance: reports are trusted until they prove misleading. */
 const initialSlope = 0.05;
 const initialVariance = 2;
 
-/** A relation as strong as this, in mean answer times for each reported call, gives full trust. */
+/** Slope from which trust is full, in mean answer times for each reported call. */
 const fullTrustSlope = 0.02;
 
-/** With no relation at all, reports are still trusted this far: an idle service shows none either. */
+/** Trust without any correlation: an idle service shows none either. */
 const baselineTrust = 0.5;
 
 /**
- * Regression of answer times on the load that was reported at placing. Made for reports that lag or lie:
- * a backend server that was reported idle is then sent calls by all VMs and answers late, so the relation
- * turns negative, and trust falls before the calls swing to and fro between backend servers.
+ * Regression of the answer time on the load that was reported at placement. Made for reports that are delayed or wrong:
+ * all VMs send calls to a backend server that was reported idle, which then answers late, so the slope turns negative and
+ * trust falls before the calls oscillate between backend servers.
  */
 export class ReportTrust {
 	private _meanSignal = 0;
@@ -24,18 +24,18 @@
 	private _covariance = initialSlope * initialVariance;
 	private _variance = initialVariance;
 
-	/** Change of the answer time, in means, for each reported call. */
+	/** Change of the answer time for each reported call, in mean answer times. */
 	get slope(): number {
 		return this._covariance / Math.max(0.01, this._variance);
 	}
 
-	/** 0 = reports say nothing, 1 = as good as they can be. */
+	/** 0 = reports are useless, 1 = reports are fully trusted. */
 	get value(): number {
 		const relation = this.slope / fullTrustSlope;
 		return Math.min(1, Math.max(0, baselineTrust + ((1 - baselineTrust) * relation)));
 	}
 
-	/** `signal` = calls more than usual that were reported at placing; `ratio` = answer time in class means. */
+	/** `signal` = reported calls beyond the usual number at placement; `ratio` = answer time relative to the class mean. */
 	add(signal: number, ratio: number): void {
 		const gain = 1 / memorySamples;
 		const clipped = Math.min(5, ratio);
