--- a/src/common/calls/answer-time-model.test.ts
+++ b/src/common/calls/answer-time-model.test.ts
@@ -10,8 +10,11 @@
 const lastSlot: Prospect = {...quiet, load: 3};
 const neighbours: Prospect = {...quiet, workTimeFactor: 4};
 
-/** Answers of a server whose last slot takes this many times longer, with a lognormal rest of this spread. */
-function taught(slowdown: number, spread: number, samples: number): AnswerTimeModel {
+/**
+ * A model trained with answers of a server whose last slot takes `slowdown` times longer, with a lognormal residual of
+ * this spread.
+ */
+function trainedModel(slowdown: number, spread: number, samples: number): AnswerTimeModel {
 	const random = seededRandom(3);
 	const model = new AnswerTimeModel();
 	for (let index = 0; index < samples; index++) {
@@ -24,8 +27,8 @@
 	return model;
 }
 
-/** Part of a lognormal distribution of this mean and spread below a value, by chance. */
-function partBelow(mean: number, spread: number, within: number): number {
+/** Fraction of a lognormal distribution with this mean and spread below `within`, by Monte Carlo sampling. */
+function fractionBelow(mean: number, spread: number, within: number): number {
 	const random = seededRandom(11);
 	const count = 20_000;
 	let below = 0;
@@ -37,35 +40,36 @@
 	return below / count;
 }
 
-describe('the model of answer times', () => {
-	// Guards calls of a VM that has just started against estimates without any sample.
-	it('is sound before anything was seen', () => {
+describe('the answer time model', () => {
+	// Guards the calls of a VM that has just started against wrong estimates before any sample.
+	it('gives plausible probabilities before the first sample', () => {
 		const model = new AnswerTimeModel();
 		const chances = [quiet, lastSlot, neighbours].map(prospect => model.chance(work, prospect, 400));
 		expect([chances[0]! > 0.97, chances[1]! > 0.85 && chances[1]! < 0.97, chances[2]! < 0.15]).toEqual([true, true, true]);
 	});
 
 	for (const [slowdown, spread] of [[1, 0.2], [1.5, 0.3], [2.2, 0.4]] as const) {
-		it(`comes within 0.08 of the true part where the last slot takes ${slowdown} times as long and the spread is ${spread}`, () => {
-			const model = taught(slowdown, spread, 200);
+		it(`is within 0.08 of the true probability if the last slot takes ${slowdown} times as long and the spread is ${spread}`, () => {
+			const model = trainedModel(slowdown, spread, 200);
 			for (const within of [200, 300, 400]) {
-				const difference = Math.abs(model.chance(work, lastSlot, within) - partBelow(work * slowdown, spread, within));
+				const difference = Math.abs(model.chance(work, lastSlot, within) - fractionBelow(work * slowdown, spread, within));
 				expect(difference).toBeLessThanOrEqual(0.08);
 			}
 		});
 	}
 
-	it('has moved half of the way after a dozen answers', () => {
-		const mean = taught(3, 0.1, 12).mean(work, lastSlot) / work;
+	it('has adapted by half after a dozen answers', () => {
+		const mean = trainedModel(3, 0.1, 12).mean(work, lastSlot) / work;
 		expect(mean).toBeGreaterThanOrEqual(2);
 		expect(mean).toBeLessThanOrEqual(2.6);
 	});
 
-	// Guards calls against reports that are older than their content holds.
-	it('learns how long reports hold, and trusts older ones less', () => {
+	// Guards calls against reports that are older than their validity.
+	it('learns how long reports stay valid, and gives older ones less weight', () => {
 		const model = new AnswerTimeModel();
 		for (let index = 0; index < 400; index++) {
-			// Reports 100 ms apart, of which one in eight differs: changes every 300 ms at a quarter of slow ones.
+			// Reports 100 ms apart, of which one in eight differs from its predecessor: a change every 300 ms, with a quarter
+			// of the reports slow.
 			model.addReport(index % 4 === 0 ? 4 : 1, index % 8 === 0 ? 1 : (index % 4 === 0 ? 4 : 1), 100);
 		}
 
@@ -74,7 +78,7 @@
 		expect([fresh - old > 0.08, model.chance(work, {...quiet, age: 3000}, 400) >= 0.65]).toEqual([true, true]);
 	});
 
-	it('is not spoilt by answers that a fault delayed', () => {
+	it('ignores answers that were delayed by a fault', () => {
 		const model = new AnswerTimeModel();
 		const before = model.chance(work, quiet, 400);
 		for (let index = 0; index < 50; index++) {
@@ -85,13 +89,13 @@
 	});
 });
 
-describe('how many backend servers are asked', () => {
+describe('the number of backend servers to probe', () => {
 	const roomy = {
 		inFlight: 0, queued: 0, slots: 3, instance: undefined, isLeaving: false, workTimeFactor: 1,
 	};
 
-	// Guards the probing budget against probes that bring nothing where most backend servers have room.
-	it('is two where most have room, and all that may be asked where few have', () => {
+	// Guards the probing budget against probes without benefit where most backend servers have room.
+	it('is two if most have room, and the maximum if few have', () => {
 		const calm = new Headroom();
 		const full = new Headroom();
 		for (let report = 0; report < 60; report++) {
--- a/src/common/calls/backend-server-state.test.ts
+++ b/src/common/calls/backend-server-state.test.ts
@@ -12,11 +12,11 @@
 	inFlight: 0, queued: 0, slots: 6, instance, isLeaving,
 });
 
-describe('signs of leaving', () => {
-	it('binds a process that this VM has not heard of yet', () => {
-		// A backend server crashes, starts again and soon begins to leave. This VM has last heard from the
-		// process before the crash. Told by a peer that the new process leaves, it must not take the word
-		// for one about an earlier process: it would give work to the leaving one for as long as it lives.
+describe('a leave signal', () => {
+	it('applies to a process from which this VM has no report yet', () => {
+		// A backend server crashes, restarts and soon begins to leave. The last report that this VM received is from before
+		// the crash. When a peer reports that the new process is leaving, this VM must not attribute the signal to an earlier
+		// process: it would place calls on the leaving process until it ends.
 		const state = new BackendServerState('identity-1', declared, defaultTuning, 0);
 		state.takeReport(report('first'), 0, 0);
 		state.takeLeaving('second', 10);
@@ -25,9 +25,9 @@
 		expect(state.isLeaving).toEqual(true);
 	});
 
-	it('does not bind a process that came after the one that left', () => {
-		// A backend server leaves and comes back under its address. A slow peer repeats the old sign: the
-		// new process must keep its work.
+	it('does not apply to a process that replaced the leaving one', () => {
+		// A backend server leaves and returns at the same address. A slow peer repeats the old signal; the new process must
+		// keep getting calls.
 		const state = new BackendServerState('identity-1', declared, defaultTuning, 0);
 		state.takeReport(report('first'), 0, 0);
 		state.takeLeaving('first', 10);
@@ -36,9 +36,10 @@
 		expect(state.isLeaving).toEqual(false);
 	});
 
-	it('ends a sign about a process that must be gone, since another answers long after the sign', () => {
-		// A VM that was away hears late that a process has left which it never met, while it knows the
-		// present one. It can't tell which of the two is newer until the present one answers again.
+	it('ends when another process answers long after it, since the signalled one must be gone', () => {
+		// A VM that was disconnected receives a late signal that a process is leaving from which it never had a report, while
+		// it has reports of the present one. It can't determine which of the two is newer until the present one answers
+		// again.
 		const state = new BackendServerState('identity-1', declared, defaultTuning, 0);
 		state.takeReport(report('second'), 0, 0);
 		state.takeLeaving('first', 10);
--- a/src/common/calls/demand-placing.test.ts
+++ b/src/common/calls/demand-placing.test.ts
@@ -10,7 +10,7 @@
 	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, mostAttempts: 3, priority: 0,
 };
 
-/** An engine whose only service is measured on demand; it may send as many measuring calls as a test needs. */
+/** An engine whose only service is measured on demand, with a budget large enough for the test. */
 function driverOf(serverCount: number, callsPerWindow = 10_000): EngineDriver {
 	return new EngineDriver(configurationOf(serverCount, {retryShare: 1, measuring: {mode: 'on-demand', callsPerWindow}}));
 }
@@ -24,18 +24,18 @@
 const quiet = () => reportOf('p', {workTimeFactor: 1});
 const slow = () => reportOf('p', {workTimeFactor: 7});
 
-describe('placing by measuring on demand', () => {
-	// Guards calls against backend servers that their neighbours slow down for half a second at a time.
-	it('asks a few backend servers and takes the one that is quiet now', () => {
+describe('placement with on-demand measuring', () => {
+	// Guards calls against backend servers that neighbours slow down for half a second at a time.
+	it('probes a few backend servers and chooses the one that is quiet now', () => {
 		const driver = driverOf(10);
 		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		expect(measures.length).toEqual(4);
-		const quietOne = measures[2]!.identity;
-		const start = startIn(answer(driver, measures, identity => identity === quietOne ? quiet() : slow()));
-		expect(start?.identity).toEqual(quietOne);
+		const quietServer = measures[2]!.identity;
+		const start = startIn(answer(driver, measures, identity => identity === quietServer ? quiet() : slow()));
+		expect(start?.identity).toEqual(quietServer);
 	});
 
-	it('asks nobody again whose report is young, and shares one measuring call between calls', () => {
+	it('probes no backend server with a fresh report again, and shares a probe between calls', () => {
 		const driver = driverOf(4);
 		const first = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		const second = measuresOf(driver.handle({type: 'call-arrived', request: readOf(2)}));
@@ -45,8 +45,9 @@
 		expect([first.length, second.length, starts.length, measuresOf(third).length, startIn(third) === undefined]).toEqual([4, 0, 2, 0, false]);
 	});
 
-	// Guards VMs of large fleets, whose processors are small, against work for a call that grows with the backend servers.
-	it('scores few of many backend servers for a call', () => {
+	// Guards VMs of large fleets, whose processors are small, against work per call that grows with the number of backend
+	// servers.
+	it('scores only a few of many backend servers for a call', () => {
 		const source = seededRandom(1);
 		let draws = 0;
 		const random = {
@@ -62,8 +63,8 @@
 		expect(draws).toBeLessThanOrEqual(60);
 	});
 
-	// Guards calls against waiting for load reports that do not come.
-	it('waits for reports some milliseconds only', () => {
+	// Guards calls against waiting for load reports that do not arrive.
+	it('waits for reports for a few milliseconds only', () => {
 		const driver = driverOf(3);
 		driver.handle({type: 'call-arrived', request: readOf(1)});
 		const effects = driver.passTime(40);
@@ -71,7 +72,7 @@
 	});
 
 	// Guards the probing budget against a burst of calls.
-	it('stays within the budget in a rush, and places all the same', () => {
+	it('stays within the budget in a burst and still places all calls', () => {
 		const driver = driverOf(4, 100);
 		let measured = 0;
 		let started = 0;
@@ -91,7 +92,7 @@
 	});
 
 	// Guards calls against being placed at once while all backend servers are slow for a moment.
-	it('waits a moment when nobody can answer within the objective', () => {
+	it('waits a moment when no backend server can answer within the objective', () => {
 		const driver = driverOf(4);
 		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		const atOnce = answer(driver, measures, slow);
@@ -114,8 +115,8 @@
 		expect([refusal?.status, refusal?.outcome, refusal?.retryAfterMilliseconds === undefined, driver.now <= 110]).toEqual([503, 'not-run', false, true]);
 	});
 
-	// Guards fresh calls against late ones that take the only quiet backend server.
-	it('sends a call that is late anyway to a slow backend server and leaves the quick one to others', () => {
+	// Guards calls that can be in time against late ones that take the only fast backend server.
+	it('sends a call that will be late anyway to a slow backend server and leaves the fast one to others', () => {
 		const driver = driverOf(2);
 		const request = readOf(1, {objectiveMilliseconds: 40});
 		const effects = [...driver.handle({type: 'call-arrived', request})];
@@ -131,8 +132,8 @@
 		expect(start?.identity).toEqual('identity-0');
 	});
 
-	// Guards fresh calls against retrying callers that are late whatever they get.
-	it('knows a caller that comes back by the time that it has left, and spares it the quick places', () => {
+	// Guards first calls against retries of callers that will be late wherever they are placed.
+	it('recognises a retry by its remaining time, and does not give it a fast backend server', () => {
 		const driver = driverOf(2);
 		for (let call = 10; call < 20; call++) {
 			const start = startIn(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(call)})), quiet))!;
@@ -160,22 +161,22 @@
 		expect([atOnce, start === undefined, driver.now >= 75]).toEqual([undefined, false, true]);
 	});
 
-	// Guards calls against an old report that looks better than the young ones.
-	it('prefers what it has just learnt over an old report that looks better', () => {
+	// Guards calls against an old report that looks better than the fresh ones.
+	it('prefers fresh reports to an old one that looks better', () => {
 		const driver = driverOf(5);
 		const before = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		answer(driver, before, quiet);
 		driver.now += 2000;
 		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(2)}));
-		const asked = new Set(measures.map(({identity}) => identity));
+		const probed = new Set(measures.map(({identity}) => identity));
 		const start = startIn([
 			...answer(driver, measures, () => reportOf('p', {inFlight: 4, workTimeFactor: 1.2})), ...driver.passTime(20),
 		]);
-		expect([start === undefined, start !== undefined && asked.has(start.identity)]).toEqual([false, true]);
+		expect([start === undefined, start !== undefined && probed.has(start.identity)]).toEqual([false, true]);
 	});
 
-	// Guards the objective of an idempotent call against a neighbour that arrives in the middle of it.
-	it('tries an idempotent call again in time for its objective', () => {
+	// Guards the objective of an idempotent call against a neighbour that starts during the call.
+	it('hedges an idempotent call in time for its objective', () => {
 		const driver = driverOf(4);
 		startIn(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)})), quiet));
 		const effects = driver.passTime(160);
@@ -183,7 +184,7 @@
 		expect(second === undefined).toEqual(false);
 	});
 
-	it('does not try a call again that may run once only', () => {
+	it('does not hedge a call that may run only once', () => {
 		const driver = driverOf(4);
 		answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1, {isIdempotent: false})})), quiet);
 		expect(measuresOf(driver.passTime(400))).toEqual([]);
@@ -199,29 +200,29 @@
 	return new EngineDriver({...configuration, backendServers});
 }
 
-describe('measuring and bytes between data centres', () => {
-	const near = (measures: readonly Measure[]) => measures.map(({identity}) => Number(identity.slice('identity-'.length)) < 3);
+describe('probes and traffic between data centres', () => {
+	const areLocal = (measures: readonly Measure[]) => measures.map(({identity}) => Number(identity.slice('identity-'.length)) < 3);
 
-	// Guards against bytes between data centres for probes that the own data centre can answer.
-	it('ask the own data centre first, and nobody else where that has a good place', () => {
+	// Guards against traffic between data centres for probes that the local data centre can answer.
+	it('use the local data centre alone if it has a suitable backend server', () => {
 		const driver = inTwoDataCentres(6);
 		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		const effects = answer(driver, measures, quiet);
-		expect([near(measures), measuresOf(effects).length, startIn(effects) === undefined]).toEqual([[true, true, true], 0, false]);
+		expect([areLocal(measures), measuresOf(effects).length, startIn(effects) === undefined]).toEqual([[true, true, true], 0, false]);
 	});
 
-	// Guards calls against slow backend servers of the own data centre while others are quick.
-	it('ask the others where the own one has no good place, and go there', () => {
+	// Guards calls against slow local backend servers while remote ones are fast.
+	it('use the other data centres if the local one has no suitable backend server', () => {
 		const driver = inTwoDataCentres(6);
 		const second = measuresOf(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)})), slow));
 		const start = startIn(answer(driver, second, quiet));
-		expect([near(second), start !== undefined && Number(start.identity.slice('identity-'.length)) >= 3]).toEqual([[false, false, false], true]);
+		expect([areLocal(second), start !== undefined && Number(start.identity.slice('identity-'.length)) >= 3]).toEqual([[false, false, false], true]);
 	});
 });
 
-describe('a second attempt where the first is in the last slot', () => {
-	// Guards slots against second attempts for answers that are about to come.
-	it('waits until the first is no longer likely to be in time', () => {
+describe('a hedge while the first attempt is in the last slot', () => {
+	// Guards slots against second attempts for answers that are about to arrive.
+	it('waits until the first attempt is no longer likely to be in time', () => {
 		const driver = driverOf(4);
 		for (let call = 10; call < 40; call++) {
 			const start = placed(driver, driver.handle({type: 'call-arrived', request: readOf(call)}))!;
@@ -237,15 +238,15 @@
 	});
 });
 
-/** The attempt that follows from these effects, where every backend server says that it is idle. */
+/** The attempt that follows from these effects if every backend server reports that it is idle. */
 function placed(driver: EngineDriver, effects: readonly CallEffect[]): Start | undefined {
 	const all = [...effects, ...answer(driver, measuresOf(effects), quiet), ...driver.passTime(30)];
 	return startIn([...all, ...answer(driver, measuresOf(all), quiet)]);
 }
 
-describe('backend servers that turn calls away though they have room', () => {
-	// Guards calls against being refused without an attempt where all backend servers shed alike.
-	it('are tried on where all do so alike', () => {
+describe('backend servers that shed calls although they have room', () => {
+	// Guards calls against being refused without an attempt where all backend servers shed at the same rate.
+	it('still get attempts if all of them shed alike', () => {
 		const driver = driverOf(4);
 		let attempts = 0;
 		let refused = 0;
@@ -267,8 +268,8 @@
 		expect([attempts >= 58, refused <= 2]).toEqual([true, true]);
 	});
 
-	// Guards callers of a shed call against a time to return that is too late for their objective.
-	it('have callers come back at once', () => {
+	// Guards callers of a shed call against a retry delay that is too long for their objective.
+	it('make callers retry at once', () => {
 		const driver = driverOf(2);
 		const start = startIn(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1, {mostAttempts: 1})})), quiet))!;
 		const refusal = driver.head(start.attemptId, {status: 503, isDeclaredNotRun: true, report: quiet()})
@@ -277,7 +278,7 @@
 	});
 
 	// Guards calls against one backend server that sheds and reports itself idle.
-	it('are left to the others where one does so alone', () => {
+	it('get few calls if the others do not shed', () => {
 		const driver = driverOf(4);
 		let shed = 0;
 		for (let call = 1; call <= 60; call++) {
@@ -304,7 +305,7 @@
 		expect(linesOf(driver.passTime(20))).toEqual(['cancel-attempt', 'refuse deadline-exceeded unknown 504', 'call-ended']);
 	});
 
-	// Guards backend servers against a call that breaks them, beyond the attempts that its route allows.
+	// Guards backend servers against a call that crashes them, beyond the attempts that its route allows.
 	it('bounds the backend servers that a call is sent to', () => {
 		const driver = driverOf(6);
 		const seen: string[] = [];
@@ -321,7 +322,7 @@
 });
 
 describe('a status that callers read as "not run"', () => {
-	// Guards callers against a bare 503 of a call that has run: they would take it for not run.
+	// Guards callers against a bare 503 for a call that has run: they would conclude that it has not run.
 	it('is not passed on without the backend server\'s word', () => {
 		const driver = new EngineDriver(configurationOf(1), {}, 1, {notRunStatuses: new Set([503])});
 		const start = driver.start(requestOf(1))!;
--- a/src/common/calls/evacuation.test.ts
+++ b/src/common/calls/evacuation.test.ts
@@ -8,7 +8,7 @@
 	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, mostAttempts: 3, priority: 0,
 };
 
-/** Backend servers 0 and 1 stand in the data centre north, the others in south. */
+/** Backend servers 0 and 1 are in the data centre `north`, the others in `south`. */
 function configuration(serverCount: number, evacuated: readonly string[] = [], mode: 'on-demand' | 'paced' = 'on-demand'): CallConfiguration {
 	const all = configurationOf(serverCount, {retryShare: 1, measuring: {mode, callsPerWindow: 10_000}});
 	return {
@@ -26,8 +26,8 @@
 	});
 }
 
-/** Lets calls be placed by quiet reports for this long; all effects. */
-function settle(driver: EngineDriver, effects: readonly CallEffect[], milliseconds = 100): CallEffect[] {
+/** Runs for this long while all load reports are quiet; returns all effects. */
+function runWithQuietReports(driver: EngineDriver, effects: readonly CallEffect[], milliseconds = 100): CallEffect[] {
 	const all: CallEffect[] = [];
 	let next = [...effects];
 	for (const end = driver.now + milliseconds; driver.now < end;) {
@@ -44,18 +44,18 @@
 
 describe('calls while a data centre is evacuated', () => {
 	for (const mode of ['on-demand', 'paced'] as const) {
-		// Guards against calls that reach a data centre after operators have asked to leave it alone.
+		// Guards against calls that reach a data centre after operators have ordered its evacuation.
 		it(`are placed in the other data centres (${mode} measuring)`, () => {
 			const driver = new EngineDriver(configuration(4, ['north'], mode));
-			const effects = Array.from({length: 40}, (_, index) => settle(driver, driver.handle({type: 'call-arrived', request: readOf(index)}), 10)).flat();
+			const effects = Array.from({length: 40}, (_, index) => runWithQuietReports(driver, driver.handle({type: 'call-arrived', request: readOf(index)}), 10)).flat();
 			expect([...new Set(serversOf(effects))].toSorted()).toEqual(['identity-2', 'identity-3']);
 		});
 	}
 
-	it('go back once it is over', () => {
+	it('return once the evacuation has ended', () => {
 		const driver = new EngineDriver(configuration(2, ['north']));
 		driver.handle({type: 'configured', configuration: configuration(2)});
-		expect(serversOf(settle(driver, driver.handle({type: 'call-arrived', request: readOf(1)}))).length).toEqual(1);
+		expect(serversOf(runWithQuietReports(driver, driver.handle({type: 'call-arrived', request: readOf(1)}))).length).toEqual(1);
 	});
 
 	it('send no load probes there', () => {
@@ -64,35 +64,35 @@
 		expect(probed.toSorted()).toEqual(['identity-2', 'identity-3']);
 	});
 
-	// Guards against an attempt that was being prepared when the evacuation came into force.
-	it('are placed elsewhere when probes of the data centre are still out', () => {
+	// Guards against an attempt that was being probed for when the evacuation came into force.
+	it('are placed elsewhere when probes of the data centre are still outstanding', () => {
 		const driver = new EngineDriver(configuration(4));
 		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		const changed = driver.handle({type: 'configured', configuration: configuration(4, ['north'])});
 		const effects = [...changed, ...answerMeasures(driver, measures, quiet)];
-		expect(serversOf(settle(driver, effects)).filter(identity => identity < 'identity-2')).toEqual([]);
+		expect(serversOf(runWithQuietReports(driver, effects)).filter(identity => identity < 'identity-2')).toEqual([]);
 	});
 
-	// Guards against second attempts, which are placed apart from first ones.
+	// Guards against second attempts, which are placed separately from first ones.
 	it('are retried and hedged elsewhere', () => {
 		const driver = new EngineDriver(configuration(3));
-		const first = startIn(settle(driver, driver.handle({type: 'call-arrived', request: readOf(1)}), 20))!;
+		const first = startIn(runWithQuietReports(driver, driver.handle({type: 'call-arrived', request: readOf(1)}), 20))!;
 		driver.sent(first.attemptId);
 		driver.handle({type: 'configured', configuration: configuration(3, ['north'])});
-		const retried = settle(driver, driver.fail(first.attemptId, 'reset-after-sending'), 50);
+		const retried = runWithQuietReports(driver, driver.fail(first.attemptId, 'reset-after-sending'), 50);
 		expect(serversOf(retried)).toEqual(['identity-2']);
 	});
 
-	it('that already run there are left to finish', () => {
+	it('that already run there may finish', () => {
 		const driver = new EngineDriver(configuration(2));
-		const first = startIn(settle(driver, driver.handle({type: 'call-arrived', request: readOf(1)}), 20))!;
+		const first = startIn(runWithQuietReports(driver, driver.handle({type: 'call-arrived', request: readOf(1)}), 20))!;
 		driver.sent(first.attemptId);
 		const during = driver.handle({type: 'configured', configuration: configuration(2, ['north'])});
 		expect([linesOf(during), linesOf(driver.head(first.attemptId))]).toEqual([[], ['pass-on']]);
 	});
 
-	// Guards callers against waiting for backend servers that nobody may use.
-	it('are refused at once, with a time to come back, when no data centre is left', () => {
+	// Guards callers against waiting for backend servers that may not be used.
+	it('are refused at once, with a retry delay, when no data centre is left', () => {
 		const driver = new EngineDriver(configuration(4, ['north', 'south']));
 		const [refusal] = driver.handle({type: 'call-arrived', request: readOf(1)});
 		expect(refusal?.type === 'refuse' ? [refusal.reason, refusal.outcome, refusal.retryAfterMilliseconds !== undefined] : undefined).toEqual(['no-backend-server', 'not-run', true]);
--- a/src/common/calls/late-calls.test.ts
+++ b/src/common/calls/late-calls.test.ts
@@ -1,4 +1,4 @@
-/** Calls that will hardly meet their objective, while there is room. */
+/** Calls that will hardly meet their objective while backend servers have room. */
 import {expect} from 'earl';
 import {
 	answerMeasures, configurationOf, EngineDriver, linesOf, measuresOf, reportOf, requestOf, type Start, startIn,
@@ -9,8 +9,8 @@
 	route: 'reads', isIdempotent: true, timeoutMilliseconds: 8000, objectiveMilliseconds: 2500, mostAttempts: 3, priority: 0,
 };
 
-/** Work of the calls that have taught the VM what this service's calls cost. */
-const usualWork = 950;
+/** Work time of the calls from which the VM learns the cost of the service's calls. */
+const usualWorkMilliseconds = 950;
 
 const quiet = () => reportOf('p', {workTimeFactor: 1});
 
@@ -20,57 +20,59 @@
 	});
 }
 
-/** A VM that has seen a dozen calls of the route `reads`. */
-function taughtDriver(): EngineDriver {
+/** A VM that has completed a dozen calls of the route `reads`. */
+function trainedDriver(): EngineDriver {
 	const driver = new EngineDriver(configurationOf(8, {retryShare: 1, measuring: {mode: 'on-demand', callsPerWindow: 10_000}}));
 	for (let call = 100; call < 112; call++) {
 		const start = startIn(answerMeasures(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(call)})), quiet))!;
-		driver.now += usualWork;
+		driver.now += usualWorkMilliseconds;
 		driver.answer(start.attemptId, quiet());
 	}
 
 	return driver;
 }
 
-/** What follows for a call within a third of a second, while every backend server is quiet and empty. */
-function follow(driver: EngineDriver, request: CallRequest): {start: Start | undefined; lines: string[]} {
+/**
+ * The first attempt and the refusals of a call within a third of a second, while every backend server is quiet and empty.
+ */
+function runCall(driver: EngineDriver, request: CallRequest): {start: Start | undefined; lines: string[]} {
 	const effects: CallEffect[] = [];
-	let fresh: readonly CallEffect[] = driver.handle({type: 'call-arrived', request});
+	let newEffects: readonly CallEffect[] = driver.handle({type: 'call-arrived', request});
 	for (let step = 0; step < 70; step++) {
-		effects.push(...fresh);
-		fresh = [...answerMeasures(driver, measuresOf(fresh), quiet), ...driver.passTime(5)];
+		effects.push(...newEffects);
+		newEffects = [...answerMeasures(driver, measuresOf(newEffects), quiet), ...driver.passTime(5)];
 	}
 
 	return {start: startIn(effects), lines: linesOf(effects).filter(line => line.startsWith('refuse'))};
 }
 
 describe('a call that will hardly meet its objective', () => {
-	// Guards calls of a new route against estimates of the other routes of its service.
-	it('is served at once on a route of which nothing is known yet', () => {
-		const {start, lines} = follow(taughtDriver(), readOf(1, {route: 'added', timeoutMilliseconds: 1000, objectiveMilliseconds: 1000}, 900));
+	// Guards calls of a new route against estimates from the other routes of its service.
+	it('is served at once on a route without any samples', () => {
+		const {start, lines} = runCall(trainedDriver(), readOf(1, {route: 'added', timeoutMilliseconds: 1000, objectiveMilliseconds: 1000}, 900));
 		expect([start === undefined, lines]).toEqual([false, []]);
 	});
 
 	// Guards late calls against being refused while backend servers are half empty.
-	it('is served late where backend servers are half empty', () => {
-		const {start, lines} = follow(taughtDriver(), readOf(1, {}, 1200));
+	it('is served late if backend servers are half empty', () => {
+		const {start, lines} = runCall(trainedDriver(), readOf(1, {}, 1200));
 		expect([start === undefined, lines]).toEqual([false, []]);
 	});
 
 	// Guards callers against an attempt that cannot end before their deadline.
-	it('is refused where its own route has shown that it takes longer than it has', () => {
-		const {start, lines} = follow(taughtDriver(), readOf(1, {}, 300));
+	it('is refused if calls of its own route take longer than its remaining time', () => {
+		const {start, lines} = runCall(trainedDriver(), readOf(1, {}, 300));
 		expect([start, lines]).toEqual([undefined, ['refuse overloaded not-run 503']]);
 	});
 
-	// Guards memory and the other routes against what was learnt of routes that are gone.
-	it('forgets the routes that were called longest ago', () => {
-		const driver = taughtDriver();
+	// Guards memory and the other routes against data of routes that are gone.
+	it('is treated as one of a new route once its route was dropped as the least recently called', () => {
+		const driver = trainedDriver();
 		for (let call = 200; call < 240; call++) {
-			follow(driver, readOf(call, {route: `route-${call}`}));
+			runCall(driver, readOf(call, {route: `route-${call}`}));
 		}
 
-		const {start} = follow(driver, readOf(1, {}, 900));
+		const {start} = runCall(driver, readOf(1, {}, 900));
 		expect(start === undefined).toEqual(false);
 	});
 });
--- a/src/common/calls/measuring-schedule.test.ts
+++ b/src/common/calls/measuring-schedule.test.ts
@@ -22,7 +22,7 @@
 	};
 }
 
-/** One VM that starts before its slot is free, and is asked at odd times, also after pauses. */
+/** Send times of one VM that starts before its share is valid and gets ticks at irregular times, also after pauses. */
 function measuringTimes(configuration: CallConfiguration, shares: FleetShares, seedOfVm: number, pauses: readonly number[]): number[] {
 	const random = seededRandom(seedOfVm);
 	const engine = new DefaultCallEngine({random, settings: {dataCentre: 'north'}});
@@ -39,7 +39,7 @@
 			}
 		}
 
-		// A rush of calls must not raise the spend.
+		// A burst of calls must not raise the number of measuring calls.
 		engine.handle({
 			type: 'call-arrived', request: {
 				callId: callId++, service: 'reads', caller: 'a', method: 'GET', fingerprint: 'f', timeoutMilliseconds: 50, bodyBytes: 0, idempotencyKey: undefined, mayRetry: true,
@@ -50,32 +50,32 @@
 	return times;
 }
 
-function mostInWindow(times: readonly number[]): number {
+function maxInWindow(times: readonly number[]): number {
 	const sorted = times.toSorted((a, b) => a - b);
-	let most = 0;
+	let max = 0;
 	for (let first = 0, last = 0; last < sorted.length; last++) {
 		while (sorted[last]! - sorted[first]! > windowMilliseconds) {
 			first++;
 		}
 
-		most = Math.max(most, last - first + 1);
+		max = Math.max(max, last - first + 1);
 	}
 
-	return most;
+	return max;
 }
 
-/** Mostly short turns of the loop, some pauses. */
+/** Mostly short event loop turns, some pauses. */
 const turnArbitrary = fc.oneof(
 	{weight: 9, arbitrary: fc.integer({min: 1, max: 40})},
 	{weight: 1, arbitrary: fc.integer({min: 300, max: 1500})},
 );
 const pausesArbitrary = fc.array(turnArbitrary, {minLength: 5, maxLength: 30});
 
-describe('budget of measuring', () => {
-	it('is kept in every window by the sum of all VMs, while they are replaced, paused and in a rush', function () {
-		// Old and new VMs stand side by side, some are paused and wake, all measure the same backend server
-		// as a rush begins. Each holds one of six slots, the next holder only after a whole window. In no
-		// window, wherever it begins, does the backend server get more calls than declared.
+describe('the measuring budget', () => {
+	it('is kept in every window by the sum of all VMs while they are replaced, paused and in a burst of calls', function () {
+		// During a rollout old and new VMs run side by side, some are paused and wake up, and all measure the same backend
+		// server while a burst begins. Each holds one of six share slots, and the next holder may start only after a whole
+		// window. The backend server must not get more calls than declared in any window.
 		this.timeout(60_000);
 		fc.assert(
 			fc.property(
@@ -92,16 +92,16 @@
 						}, index + 100, pauses);
 						return [...former, ...next];
 					});
-					expect(mostInWindow(times)).toBeLessThanOrEqual(callsPerWindow);
+					expect(maxInWindow(times)).toBeLessThanOrEqual(callsPerWindow);
 				},
 			),
 			{seed, numRuns: 300},
 		);
 	});
 
-	it('is used, and by the smaller weight at most a tenth of what the larger one uses', () => {
-		// Two operators declare the same budget, one for the shortest tail and one for small, crowded
-		// backend servers. A budget that nobody ever spends would pass the first test too.
+	it('is used, with the smaller tail weight at most a tenth as much as with the larger one', () => {
+		// Two operators declare the same budget, one for the shortest tail and one for small, crowded backend servers. A
+		// schedule that never sends a call would pass the first test too.
 		const shares = {
 			measuringPart: 0.5, connectionPart: 0.5, vmCount: 2, measuringFrom: 0, measuringUntil: 60_000,
 		};
@@ -111,8 +111,8 @@
 		expect(spent[1]!).toBeLessThanOrEqual(spent[0]! / 10);
 	});
 
-	it('costs an idle service little, and has its full pace back soon after its first call', () => {
-		// Guards backend servers that nobody calls through this VM against being measured at full pace.
+	it('is hardly used for an idle service, and at the full rate soon after its first call', () => {
+		// Guards backend servers that are not called through this VM against being measured at the full rate.
 		const configuration = configurationOf({callsPerWindow: 60, tailWeight: 1});
 		const engine = new DefaultCallEngine({random: seededRandom(seed), settings: {dataCentre: 'north'}});
 		const shares: FleetShares = {
@@ -136,14 +136,14 @@
 			counts.called += now >= 61_000 ? measured : 0;
 		}
 
-		// Ten calls a window of one second are allowed: 590 in the 59 s after the first second.
+		// Ten calls per window of one second are allowed: 590 in the 59 s after the first second.
 		expect(counts.idle).toBeGreaterThanOrEqual(10);
 		expect(counts.idle).toBeLessThanOrEqual(20);
 		expect(counts.called).toBeGreaterThanOrEqual(400);
 	});
 
-	it('refuses a measuring call out of turn, whoever asks for it', () => {
-		// Guards the measuring budget against a second reason to measure.
+	it('refuses a measuring call before the next one is due, whatever its reason', () => {
+		// Guards the measuring budget against a second code path that sends measuring calls.
 		const schedule = new MeasuringSchedule();
 		const budget = {callsPerWindow: 60, windowMilliseconds, tailWeight: 1};
 		const shares: FleetShares = {
--- a/src/common/calls/rate-limit.test.ts
+++ b/src/common/calls/rate-limit.test.ts
@@ -20,47 +20,47 @@
 	};
 }
 
-/** What a backend server allows: this often its rate over the span, and some calls more. */
+/** Calls that a backend server tolerates within a span: this multiple of its rate over the span, and some more. */
 const spanMilliseconds: Milliseconds = 4000;
 const tolerance = 1.5;
 const allowance = 5;
 
-/** The limit binds this long after it was first named, and each VM this long after it was told. */
-const contactMilliseconds: Milliseconds = 3000;
-const toldMilliseconds: Milliseconds = 500;
+/** The limit applies this long after it was first announced, and to each VM this long after the VM received it. */
+const fleetGraceMilliseconds: Milliseconds = 3000;
+const vmGraceMilliseconds: Milliseconds = 500;
 
-type Play = {
+type FleetScenario = {
 	readonly vmCount: number;
 	readonly serverCount: number;
 	readonly callsPerSecond: number;
-	/** Calls a second that the first backend server takes from all VMs. */
+	/** Calls per second that the first backend server accepts from all VMs together. */
 	readonly limit: number;
-	readonly isNamedByProbes: boolean;
+	readonly isAnnouncedByProbes: boolean;
 	readonly seed: number;
 };
 
 type LimitedStart = {readonly vm: number; readonly at: Instant};
 
-const namedAt = 4000;
+const limitStartsAt = 4000;
 const endsAt = 14_000;
 const stepMilliseconds = 5;
 
-/** A fleet of engines, and the calls that reach the backend server that names a limit. */
+/** A fleet of engines, and the calls that reach the backend server with a rate limit. */
 class LimitedFleet {
 	readonly starts: LimitedStart[] = [];
-	/** When each VM was first told, by its place. */
-	readonly toldAt = new Map<number, Instant>();
-	private readonly _play: Play;
+	/** When each VM first received the limit, by its index. */
+	readonly informedAt = new Map<number, Instant>();
+	private readonly _scenario: FleetScenario;
 	private readonly _drivers: EngineDriver[];
 	private readonly _running: Array<{readonly vm: number; readonly identity: string; readonly attemptId: number; readonly endsAt: Instant}> = [];
 	private readonly _workMilliseconds = 160;
 
-	constructor(play: Play) {
-		this._play = play;
-		const names = Array.from({length: play.vmCount}, (_, index) => `10.0.0.${index}:80`);
-		const declared = configurationOf(play.serverCount, {retryShare: 1, measuring: {mode: 'on-demand', callsPerWindow: 10_000}});
+	constructor(scenario: FleetScenario) {
+		this._scenario = scenario;
+		const names = Array.from({length: scenario.vmCount}, (_, index) => `10.0.0.${index}:80`);
+		const declared = configurationOf(scenario.serverCount, {retryShare: 1, measuring: {mode: 'on-demand', callsPerWindow: 10_000}});
 		this._drivers = names.map((own, index) => {
-			const driver = new EngineDriver(declared, {}, (play.seed * 1000) + index, {}, new OwnerRateQuota(testHash));
+			const driver = new EngineDriver(declared, {}, (scenario.seed * 1000) + index, {}, new OwnerRateQuota(testHash));
 			driver.handle({
 				type: 'shares', shares: {
 					measuringPart: 0, measuringFrom: 0, measuringUntil: 0, connectionPart: 0.5, vmCount: names.length, members: {own, byDataCentre: new Map([['north', names]])},
@@ -71,46 +71,46 @@
 	}
 
 	run(): this {
-		const random = seededRandom(this._play.seed);
-		const {callsPerSecond} = this._play;
+		const random = seededRandom(this._scenario.seed);
+		const {callsPerSecond} = this._scenario;
 		let callId = 1;
 		for (let now = 0; now < endsAt; now += stepMilliseconds) {
 			for (const [vm, driver] of this._drivers.entries()) {
-				this._take(vm, driver.passTime(stepMilliseconds));
+				this._apply(vm, driver.passTime(stepMilliseconds));
 			}
 
 			this._answer(now);
 			for (let due = callsPerSecond * stepMilliseconds / 1000; random.next() < due; due--) {
 				callId++;
 				const vm = Math.floor(random.next() * this._drivers.length);
-				this._take(vm, this._drivers[vm]!.handle(readOf(callId)));
+				this._apply(vm, this._drivers[vm]!.handle(readOf(callId)));
 			}
 		}
 
 		return this;
 	}
 
-	/** Calls of VMs that had been told, in the span that has most, once the limit binds. */
+	/** Calls of informed VMs in the worst span since the limit applies. */
 	worstSpan(): number {
-		const counted = this.starts.filter(({vm, at}) => at >= (this.toldAt.get(vm) ?? Infinity) + toldMilliseconds);
-		const isBound = (at: Instant) => at + spanMilliseconds >= namedAt + contactMilliseconds;
+		const counted = this.starts.filter(({vm, at}) => at >= (this.informedAt.get(vm) ?? Infinity) + vmGraceMilliseconds);
+		const isBound = (at: Instant) => at + spanMilliseconds >= limitStartsAt + fleetGraceMilliseconds;
 		return Math.max(0, ...counted.map(({at}) => counted.filter(other => isBound(at) && other.at >= at && other.at < at + spanMilliseconds).length));
 	}
 
 	private _rateLimitOf(identity: string, now: Instant): {rateLimit?: number} {
-		return identity === 'identity-0' && now >= namedAt ? {rateLimit: this._play.limit} : {};
+		return identity === 'identity-0' && now >= limitStartsAt ? {rateLimit: this._scenario.limit} : {};
 	}
 
 	private _answer(now: Instant): void {
 		for (const {vm, identity, attemptId} of this._running.filter(one => one.endsAt <= now)) {
 			const driver = this._drivers[vm]!;
 			const limit = this._rateLimitOf(identity, now);
-			if (limit.rateLimit !== undefined && !this.toldAt.has(vm)) {
-				this.toldAt.set(vm, now);
+			if (limit.rateLimit !== undefined && !this.informedAt.has(vm)) {
+				this.informedAt.set(vm, now);
 			}
 
-			this._take(vm, driver.head(attemptId, {report: this._report(identity, now, false), ...limit}));
-			this._take(vm, driver.handle({type: 'attempt-done', attemptId}));
+			this._apply(vm, driver.head(attemptId, {report: this._report(identity, now, false), ...limit}));
+			this._apply(vm, driver.handle({type: 'attempt-done', attemptId}));
 		}
 
 		this._running.splice(0, this._running.length, ...this._running.filter(one => one.endsAt > now));
@@ -121,11 +121,11 @@
 			workTimeFactor: 1,
 			inFlight: this._running.filter(one => one.identity === identity).length,
 			...(isProbe ? {warmUpLeftMilliseconds: 0} : {}),
-			...(isProbe && this._play.isNamedByProbes ? this._rateLimitOf(identity, now) : {}),
+			...(isProbe && this._scenario.isAnnouncedByProbes ? this._rateLimitOf(identity, now) : {}),
 		});
 	}
 
-	private _take(vm: number, effects: readonly CallEffect[]): void {
+	private _apply(vm: number, effects: readonly CallEffect[]): void {
 		const driver = this._drivers[vm]!;
 		for (const effect of effects) {
 			if (effect.type === 'start-attempt') {
@@ -142,20 +142,21 @@
 
 		const measures = measuresOf(effects);
 		if (measures.length > 0) {
-			this._take(vm, answerMeasures(driver, measures, identity => this._report(identity, driver.now, true)));
+			this._apply(vm, answerMeasures(driver, measures, identity => this._report(identity, driver.now, true)));
 		}
 	}
 }
 
-describe('a backend server that names a rate limit', function () {
+describe('a backend server that announces a rate limit', function () {
 	this.timeout(60_000);
 
-	for (const isNamedByProbes of [false, true]) {
+	for (const isAnnouncedByProbes of [false, true]) {
 		for (const limit of [0.3, 1.3, 2.8, 12]) {
-			// Guards a backend server in need against the sum of what all VMs send it, where each keeps its limit for itself or none does.
-			it(`gets no more than it allows from all VMs that it has told: ${limit} a second, ${isNamedByProbes ? 'in answers and load probes' : 'in answers alone'}`, () => {
+			// Guards an overloaded backend server against the sum of the calls of all VMs, where each VM uses the whole limit
+			// for itself, or none obeys it.
+			it(`gets no more than its limit from all informed VMs: ${limit} calls per second, announced ${isAnnouncedByProbes ? 'in answers and load probes' : 'in answers only'}`, () => {
 				const worst = [1, 2].map(seed => new LimitedFleet({
-					vmCount: 16, serverCount: 6, callsPerSecond: 90, limit, isNamedByProbes, seed,
+					vmCount: 16, serverCount: 6, callsPerSecond: 90, limit, isAnnouncedByProbes, seed,
 				}).run().worstSpan());
 				expect(Math.max(...worst)).toBeLessThanOrEqual((tolerance * limit * spanMilliseconds / 1000) + allowance);
 			});
@@ -163,71 +164,71 @@
 	}
 });
 
-/** An engine alone with this many backend servers; all names of limits come with answers. */
-function alone(serverCount: number): EngineDriver {
+/** A single engine with this many backend servers; all limits are announced in answers. */
+function singleVmDriver(serverCount: number): EngineDriver {
 	return new EngineDriver(configurationOf(serverCount, {retryShare: 1, measuring: {mode: 'on-demand', callsPerWindow: 10_000}}));
 }
 
-/** Sends a call each 20 ms and answers each at once; how many reached each backend server. */
+/** Sends a call every 20 ms and answers each at once; returns the number of calls for each backend server. */
 function serve(driver: EngineDriver, milliseconds: Milliseconds, limitOf: (identity: string) => {readonly rateLimit?: RateLimitNotice}, status = 200): Map<string, number> {
 	const counts = new Map<string, number>();
-	const take = (effects: readonly CallEffect[]): void => {
+	const apply = (effects: readonly CallEffect[]): void => {
 		for (const effect of effects) {
 			if (effect.type === 'start-attempt') {
 				counts.set(effect.identity, (counts.get(effect.identity) ?? 0) + 1);
-				take(driver.head(effect.attemptId, {status, report: reportOf('p', {workTimeFactor: 1}), ...limitOf(effect.identity)}));
-				take(driver.handle({type: 'attempt-done', attemptId: effect.attemptId}));
+				apply(driver.head(effect.attemptId, {status, report: reportOf('p', {workTimeFactor: 1}), ...limitOf(effect.identity)}));
+				apply(driver.handle({type: 'attempt-done', attemptId: effect.attemptId}));
 			}
 		}
 
 		const measures = measuresOf(effects);
 		if (measures.length > 0) {
-			take(answerMeasures(driver, measures, () => reportOf('p', {workTimeFactor: 1, warmUpLeftMilliseconds: 0})));
+			apply(answerMeasures(driver, measures, () => reportOf('p', {workTimeFactor: 1, warmUpLeftMilliseconds: 0})));
 		}
 	};
 
 	for (const end = driver.now + milliseconds; driver.now < end;) {
-		take(driver.handle(readOf(driver.now + 1)));
-		take(driver.passTime(20));
+		apply(driver.handle(readOf(driver.now + 1)));
+		apply(driver.passTime(20));
 	}
 
 	return counts;
 }
 
-/** A call arrives, and its load probes are answered; the attempt that it starts. */
+/** A call arrives and its load probes are answered; returns the attempt that it starts. */
 function begin(driver: EngineDriver, callId: number): Start {
 	const effects = driver.handle(readOf(callId));
 	return startIn([...effects, ...answerMeasures(driver, measuresOf(effects), () => reportOf('p', {workTimeFactor: 1}))])!;
 }
 
-const firstNames = (rateLimit: RateLimitNotice) => (identity: string) => identity === 'identity-0' ? {rateLimit} : {};
-const noneNames = () => ({});
+const firstServerAnnounces = (rateLimit: RateLimitNotice) => (identity: string) => identity === 'identity-0' ? {rateLimit} : {};
+const noneAnnounces = () => ({});
 
 describe('a rate limit on one VM', () => {
-	it('sends what does not fit to other backend servers', () => {
-		const driver = alone(2);
-		serve(driver, 500, firstNames(2));
-		const counts = serve(driver, 4000, firstNames(2));
+	it('sends excess calls to other backend servers', () => {
+		const driver = singleVmDriver(2);
+		serve(driver, 500, firstServerAnnounces(2));
+		const counts = serve(driver, 4000, firstServerAnnounces(2));
 		expect([counts.get('identity-0')! <= 9, counts.get('identity-0')! >= 6, counts.get('identity-1')! >= 180]).toEqual([true, true, true]);
 	});
 
-	it('ends with an answer that names none', () => {
-		const driver = alone(2);
-		serve(driver, 500, firstNames(2));
-		serve(driver, 1500, noneNames);
-		expect(serve(driver, 1000, noneNames).get('identity-0')!).toBeGreaterThan(10);
+	it('ends with an answer without a limit', () => {
+		const driver = singleVmDriver(2);
+		serve(driver, 500, firstServerAnnounces(2));
+		serve(driver, 1500, noneAnnounces);
+		expect(serve(driver, 1000, noneAnnounces).get('identity-0')!).toBeGreaterThan(10);
 	});
 
-	it('follows the backend server when it names another one', () => {
-		const driver = alone(2);
-		serve(driver, 500, firstNames(10));
-		serve(driver, 1000, firstNames(2));
-		expect(serve(driver, 4000, firstNames(2)).get('identity-0')!).toBeLessThanOrEqual(9);
+	it('changes when the backend server announces another one', () => {
+		const driver = singleVmDriver(2);
+		serve(driver, 500, firstServerAnnounces(10));
+		serve(driver, 1000, firstServerAnnounces(2));
+		expect(serve(driver, 4000, firstServerAnnounces(2)).get('identity-0')!).toBeLessThanOrEqual(9);
 	});
 
-	// Guards a limit that was named in an answer which overtook an earlier one.
-	it('is not ended by the answer to an attempt that started before it was named', () => {
-		const driver = alone(1);
+	// Guards a limit that was announced in an answer which overtook an earlier one.
+	it('is not ended by the answer to an attempt that started before the announcement', () => {
+		const driver = singleVmDriver(1);
 		const starts = [1, 2].map(call => begin(driver, call));
 		driver.passTime(10);
 		driver.head(starts[0]!.attemptId, {rateLimit: 1});
@@ -235,43 +236,43 @@
 		expect(linesOf(effects).includes('rate-limit-changed')).toEqual(false);
 	});
 
-	// Guards a call against a header that no backend server should send.
-	it('is not changed by one that cannot be read, which is told once', () => {
-		const driver = alone(1);
-		const told: CallEffect[] = [];
+	// Guards calls against a malformed header of a backend server.
+	it('is not changed by an unreadable one, which is reported once', () => {
+		const driver = singleVmDriver(1);
+		const changes: CallEffect[] = [];
 		for (let call = 1; call <= 5; call++) {
 			const {attemptId} = begin(driver, call);
-			told.push(...driver.head(attemptId, {rateLimit: 'unreadable'}).filter(({type}) => type === 'rate-limit-changed'));
+			changes.push(...driver.head(attemptId, {rateLimit: 'unreadable'}).filter(({type}) => type === 'rate-limit-changed'));
 			driver.handle({type: 'attempt-done', attemptId});
 		}
 
-		expect(told.map(effect => effect.type === 'rate-limit-changed' ? [effect.rateLimit, effect.limitedServers] : [])).toEqual([['unreadable', 0]]);
+		expect(changes.map(effect => effect.type === 'rate-limit-changed' ? [effect.rateLimit, effect.limitedServers] : [])).toEqual([['unreadable', 0]]);
 	});
 
-	it('refuses at once what no backend server may take in time, and says when one may', () => {
-		const driver = alone(1);
+	it('refuses a call at once if no backend server may get it in time, with a retry delay', () => {
+		const driver = singleVmDriver(1);
 		serve(driver, 1500, () => ({rateLimit: 0.5}));
 		const refusal = driver.handle(readOf(1_000_000)).find(effect => effect.type === 'refuse');
 		expect(refusal?.type === 'refuse' ? [refusal.reason, refusal.outcome, refusal.retryAfterMilliseconds! > 100] : refusal).toEqual(['overloaded', 'not-run', true]);
 	});
 
-	it('is a ground of a refusal', () => {
-		const driver = alone(1);
+	it('is recorded in the grounds of a refusal', () => {
+		const driver = singleVmDriver(1);
 		serve(driver, 1500, () => ({rateLimit: 0.5}));
 		const ended = driver.handle(readOf(1_000_000)).find(effect => effect.type === 'call-ended');
 		expect(ended?.type === 'call-ended' ? ended.summary.grounds?.rateLimited : undefined).toEqual(1);
 	});
 
-	// Guards against retries, which are placed apart from first attempts and reach it as well.
-	it('counts retries', () => {
-		const driver = alone(1);
+	// Guards against retries, which are placed separately from first attempts and reach the backend server as well.
+	it('applies to retries', () => {
+		const driver = singleVmDriver(1);
 		serve(driver, 500, () => ({rateLimit: 2}));
 		const counts = serve(driver, 4000, () => ({rateLimit: 2}), 503);
 		expect(counts.get('identity-0')!).toBeLessThanOrEqual(9);
 	});
 
-	it('binds no later process of the same identity', () => {
-		const driver = alone(1);
+	it('does not apply to a later process of the same identity', () => {
+		const driver = singleVmDriver(1);
 		const all = configurationOf(1, {retryShare: 1, measuring: {mode: 'on-demand', callsPerWindow: 10_000}});
 		const startedAt = (processStartedAt: number) => ({
 			...all, version: processStartedAt, backendServers: new Map(Array.from(all.backendServers, ([identity, server]) => [identity, {...server, processStartedAt}])),
@@ -279,6 +280,6 @@
 		driver.handle({type: 'configured', configuration: startedAt(4)});
 		serve(driver, 500, () => ({rateLimit: 0.5}));
 		driver.handle({type: 'configured', configuration: startedAt(5)});
-		expect(serve(driver, 1000, noneNames).get('identity-0')!).toBeGreaterThan(20);
+		expect(serve(driver, 1000, noneAnnounces).get('identity-0')!).toBeGreaterThan(20);
 	});
 });
--- a/src/common/calls/warm-up.test.ts
+++ b/src/common/calls/warm-up.test.ts
@@ -13,12 +13,12 @@
 	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, mostAttempts: 3, priority: 0,
 };
 
-/** Calls a second that a warming backend server may get. */
+/** Calls per second that a warming backend server may get. */
 const rate = 3;
 
 type Service = {readonly mode?: 'on-demand' | 'paced'};
 
-/** `warming` = for how long each backend server warms up from now on, by its entry. */
+/** `warming` = remaining warm-up time of each backend server by its registry entry. */
 function configuration(warming: readonly number[], {mode = 'on-demand'}: Service = {}, evacuated: readonly string[] = []): CallConfiguration {
 	const all = configurationOf(warming.length, {retryShare: 1, measuring: {mode, callsPerWindow: 10_000}});
 	return {
@@ -41,16 +41,19 @@
 	return reportOf('p', {workTimeFactor: 1, warmUpLeftMilliseconds: left});
 }
 
-/** The other backend server is full, so that the cold one looks best. */
+/** Report of the other backend server: it is full, so that the cold one looks best. */
 const full = reportOf('p', {
 	workTimeFactor: 1, inFlight: 6, queued: 4, warmUpLeftMilliseconds: 0,
 });
 
-/** Sends a call each 20 ms, answers probes as told and each call at once; where the calls went, and when. */
+/**
+ * Sends a call every 20 ms, answers probes with `report` and each call at once; returns the backend server and time of
+ * each attempt.
+ */
 function serve(driver: EngineDriver, milliseconds: number, report: (identity: string) => LoadReport): Array<{readonly identity: string; readonly at: number}> {
 	const starts: Array<{readonly identity: string; readonly at: number}> = [];
 	let nextId = 1000 + driver.now;
-	const take = (effects: readonly CallEffect[]): void => {
+	const apply = (effects: readonly CallEffect[]): void => {
 		for (const effect of effects) {
 			if (effect.type === 'start-attempt') {
 				starts.push({identity: effect.identity, at: driver.now});
@@ -60,48 +63,50 @@
 
 		const measures = measuresOf(effects);
 		if (measures.length > 0) {
-			take(answerMeasures(driver, measures, report));
+			apply(answerMeasures(driver, measures, report));
 		}
 	};
 
 	for (const end = driver.now + milliseconds; driver.now < end;) {
 		nextId++;
-		take(driver.handle(readOf(nextId)));
-		take(driver.passTime(20));
+		apply(driver.handle(readOf(nextId)));
+		apply(driver.passTime(20));
 	}
 
 	return starts;
 }
 
-function mostWithinSecond(starts: ReadonlyArray<{readonly at: number}>): number {
+function maxWithinSecond(starts: ReadonlyArray<{readonly at: number}>): number {
 	return Math.max(0, ...starts.map(({at}) => starts.filter(other => other.at >= at && other.at < at + 1000).length));
 }
 
 describe('a backend server that warms up', () => {
 	for (const mode of ['on-demand', 'paced'] as const) {
-		// Guards a cold backend server that looks idle beside busy ones: it crashes under more calls than it bears.
+		// Guards a cold backend server that looks idle beside busy ones: it crashes under more calls than its service
+		// declares.
 		it(`gets no more attempts in any second than its service declares (${mode} measuring)`, () => {
 			const driver = new EngineDriver(configuration([2500, 0], {mode}));
 			const cold = serve(driver, 2400, identity => identity === 'identity-0' ? reportFor(2500 - driver.now) : full).filter(({identity}) => identity === 'identity-0');
-			expect([mostWithinSecond(cold), cold.length >= rate]).toEqual([rate, true]);
+			expect([maxWithinSecond(cold), cold.length >= rate]).toEqual([rate, true]);
 		});
 	}
 
-	it('gets its full part afterwards', () => {
+	it('gets its full share afterwards', () => {
 		const driver = new EngineDriver(configuration([500, 0]));
 		driver.passTime(600);
-		expect(mostWithinSecond(serve(driver, 1000, () => reportFor(0)).filter(({identity}) => identity === 'identity-0'))).toBeGreaterThan(rate);
+		expect(maxWithinSecond(serve(driver, 1000, () => reportFor(0)).filter(({identity}) => identity === 'identity-0'))).toBeGreaterThan(rate);
 	});
 
-	// Guards against a warm-up that begins anew without a restart: health answers tell of it before the entry does.
-	it('is spared as soon as its health answer tells of it', () => {
+	// Guards against a warm-up that starts again without a restart: health answers report it before the registry entry
+	// does.
+	it('is throttled as soon as its health answer reports the warm-up', () => {
 		const driver = new EngineDriver(configuration([0, 0]));
 		const cold = serve(driver, 1000, identity => identity === 'identity-0' ? reportFor(3000) : full).filter(({identity}) => identity === 'identity-0');
-		expect(mostWithinSecond(cold)).toEqual(rate);
+		expect(maxWithinSecond(cold)).toEqual(rate);
 	});
 
-	// Guards against a warm-up that begins under load: answers to calls report its load, and say nothing of its warm-up.
-	it('is spared within a moment while answers to calls keep its load report fresh', () => {
+	// Guards against a warm-up that starts under load: answers to calls report the load, but not the warm-up.
+	it('is throttled within a moment although answers to calls keep its load report fresh', () => {
 		const driver = new EngineDriver(configuration([0]));
 		let starts = 0;
 		for (let call = 1; call <= 100; call++) {
@@ -119,20 +124,20 @@
 		expect(starts).toBeLessThanOrEqual(20 + rate);
 	});
 
-	it('is no longer spared when its health answer says that it is warm, whatever its entry said', () => {
+	it('is no longer throttled when its health answer reports that it is warm, despite its registry entry', () => {
 		const driver = new EngineDriver(configuration([10_000, 10_000]));
-		expect(mostWithinSecond(serve(driver, 1000, () => reportFor(0)))).toBeGreaterThan(2 * rate);
+		expect(maxWithinSecond(serve(driver, 1000, () => reportFor(0)))).toBeGreaterThan(2 * rate);
 	});
 
-	it('is refused no call by an old entry that is read again', () => {
+	it('is not throttled by an old registry entry that is read again', () => {
 		const driver = new EngineDriver(configuration([500, 0]));
 		driver.passTime(600);
 		driver.handle({type: 'configured', configuration: configuration([500, 0])});
-		expect(mostWithinSecond(serve(driver, 1000, () => reportFor(0)).filter(({identity}) => identity === 'identity-0'))).toBeGreaterThan(rate);
+		expect(maxWithinSecond(serve(driver, 1000, () => reportFor(0)).filter(({identity}) => identity === 'identity-0'))).toBeGreaterThan(rate);
 	});
 
-	// Guards against retries, which are placed apart from first attempts and run there as well.
-	it('counts retries as attempts', () => {
+	// Guards against retries, which are placed separately from first attempts and reach the backend server as well.
+	it('is throttled for retries too', () => {
 		const driver = new EngineDriver(configuration([5000, 5000]));
 		const warming = () => reportFor(5000);
 		let starts = 0;
@@ -145,7 +150,7 @@
 		expect([driver.now, starts <= 2 * rate]).toEqual([0, true]);
 	});
 
-	it('is named in the grounds of a refusal', () => {
+	it('is recorded in the grounds of a refusal', () => {
 		const driver = new EngineDriver(configuration([5000]));
 		serve(driver, 100, () => reportFor(5000));
 		const effects = [...driver.handle(readOf(1)), ...driver.passTime(300)];
@@ -155,22 +160,22 @@
 });
 
 describe('the return of an evacuated data centre', () => {
-	function returned(): EngineDriver {
+	function driverAfterEvacuation(): EngineDriver {
 		const driver = new EngineDriver(configuration([0, 0], {}, ['north']));
 		driver.passTime(5000);
 		driver.handle({type: 'configured', configuration: configuration([0, 0])});
 		return driver;
 	}
 
-	// Guards backend servers that became cold while nobody used them, and whose entries were written before.
-	it('takes its backend servers for cold until they tell otherwise', () => {
-		const driver = returned();
+	// Guards backend servers that became cold while they got no calls, and whose registry entries are older than that.
+	it('treats its backend servers as cold until they report otherwise', () => {
+		const driver = driverAfterEvacuation();
 		const started = Array.from({length: 20}, (_, index) => startIn([...driver.handle(readOf(index)), ...driver.passTime(30)])).filter(start => start !== undefined);
 		expect(started.length <= 2 * rate).toEqual(true);
 	});
 
-	it('probes them beyond that, so that their answer ends it', () => {
-		const driver = returned();
+	it('probes them beyond the warm-up rate, so that their answer ends it', () => {
+		const driver = driverAfterEvacuation();
 		let probes = 0;
 		for (let call = 1; call <= 60; call++) {
 			const measures = [...measuresOf(driver.handle(readOf(call))), ...measuresOf(driver.passTime(20))];
@@ -181,8 +186,8 @@
 		expect(probes).toBeGreaterThan(2 * rate);
 	});
 
-	it('uses them in full at once where they have stayed warm', () => {
-		expect(mostWithinSecond(serve(returned(), 1000, () => reportFor(0)))).toBeGreaterThan(2 * rate);
+	it('uses them in full at once if they have stayed warm', () => {
+		expect(maxWithinSecond(serve(driverAfterEvacuation(), 1000, () => reportFor(0)))).toBeGreaterThan(2 * rate);
 	});
 });
 
@@ -191,7 +196,10 @@
 	const coldAt = 10_000;
 	const workMilliseconds = 50;
 
-	/** Calls that reach the worst of them in its worst second, at this many calls a second over all VMs; the first half turns cold. */
+	/**
+	 * Calls that the worst cold backend server gets in its worst second, at this many calls per second over all VMs; the
+	 * first half of the backend servers turns cold.
+	 */
 	function worstSecond(serverCount: number, callsPerSecond: number, seed: number): number {
 		const isCold = (identity: string) => Number(identity.split('-')[1]) < serverCount / 2;
 		const random = seededRandom(seed);
@@ -213,7 +221,7 @@
 			inFlight: running.filter(one => one.identity === identity).length,
 			warmUpLeftMilliseconds: now < coldAt || !isCold(identity) ? 0 : Math.max(0, coldAt + 3000 - now),
 		});
-		const take = (driver: EngineDriver, effects: readonly CallEffect[]): void => {
+		const apply = (driver: EngineDriver, effects: readonly CallEffect[]): void => {
 			for (const effect of effects) {
 				if (effect.type === 'start-attempt') {
 					const {identity, attemptId} = effect;
@@ -226,35 +234,36 @@
 
 			const measures = measuresOf(effects);
 			if (measures.length > 0) {
-				take(driver, answerMeasures(driver, measures, identity => report(identity, driver.now)));
+				apply(driver, answerMeasures(driver, measures, identity => report(identity, driver.now)));
 			}
 		};
 
 		for (let now = 0; now < coldAt + 3000; now += 2) {
 			for (const driver of drivers) {
-				take(driver, driver.passTime(2));
+				apply(driver, driver.passTime(2));
 			}
 
 			for (const {driver, identity, attemptId} of running.filter(({endsAt}) => endsAt <= now)) {
 				const {warmUpLeftMilliseconds, ...load} = report(identity, now);
-				take(driver, driver.head(attemptId, {report: load}));
-				take(driver, driver.handle({type: 'attempt-done', attemptId}));
+				apply(driver, driver.head(attemptId, {report: load}));
+				apply(driver, driver.handle({type: 'attempt-done', attemptId}));
 			}
 
 			running.splice(0, running.length, ...running.filter(({endsAt}) => endsAt > now));
 			if (random.next() < callsPerSecond * 0.002) {
 				const driver = drivers[Math.floor(random.next() * drivers.length)]!;
-				take(driver, driver.handle(readOf(now + 100_000)));
+				apply(driver, driver.handle(readOf(now + 100_000)));
 			}
 		}
 
 		const cold = starts.filter(({identity, at}) => isCold(identity) && at >= coldAt);
-		return Math.max(...cold.map(({identity}) => mostWithinSecond(cold.filter(one => one.identity === identity))));
+		return Math.max(...cold.map(({identity}) => maxWithinSecond(cold.filter(one => one.identity === identity))));
 	}
 
-	// Guards a busy backend server: what reaches it before its VMs know of the warm-up comes on top of the planned rate.
+	// Guards a busy backend server: calls that reach it before the VMs have a report of the warm-up add to the planned
+	// rate.
 	for (const [servers, callsPerSecond] of [[1, 60], [4, 120], [8, 200]] as const) {
-		it(`sends none of ${servers} more in any second than it bears, at ${callsPerSecond} calls a second`, () => {
+		it(`sends none of ${servers} more in any second than it can bear, at ${callsPerSecond} calls per second`, () => {
 			expect(Math.max(...[1, 2, 3, 4].map(seed => worstSecond(servers, callsPerSecond, seed)))).toBeLessThanOrEqual(14);
 		});
 	}
