--- a/src/common/calls/answer-time-model.ts
+++ b/src/common/calls/answer-time-model.ts
@@ -18,9 +18,9 @@
 };
 
 /**
- * Load levels whose slowdown is learnt separately: few calls, nearly full, queued. The initial slowdowns, and their
- * weight in samples. Servers that slow down as they fill up take 1.5 to 1.7 times as long in their last slots; for others
- * the values adapt within a minute of calls.
+ * Initial slowdown for each load level (few calls, nearly full, queued), and the weight of these values in samples. The
+ * slowdown of each level is learnt separately. Servers that slow down as they fill up take 1.5 to 1.7 times as long in
+ * their last slots; for others the values adapt within a minute of calls.
  */
 const initialSlowdowns = {few: 1, full: 1.5, queued: 2.2};
 const initialSlowdownSamples = 12;
--- a/src/common/calls/backend-server-state.ts
+++ b/src/common/calls/backend-server-state.ts
@@ -144,7 +144,7 @@
 		return this._health;
 	}
 
-	/** Slots to place calls by: few for a cold backend server, growing to all as it warms up. */
+	/** Slots that placement assumes: few for a cold backend server, growing to all as it warms up. */
 	slotsAt(now: Instant): number {
 		const {slots} = this.declared;
 		if (this.healthAt(now) !== 'warming') {
@@ -195,14 +195,14 @@
 	 * Calls of other VMs beyond the usual number, by the latest report. It decays to 0: after a mean answer time most of
 	 * the reported calls have left, and a choice by the report would be right only by chance.
 	 */
-	signalAt(now: Instant, usual: number, holdMean: Milliseconds): number {
+	signalAt(now: Instant, usualOthers: number, holdMean: Milliseconds): number {
 		if (this.report === undefined || this._tuning.reportTrust === 0) {
 			return 0;
 		}
 
 		const others = Math.max(0, this.report.inFlight + this.report.queued - this._ownCallsAtReport);
 		const lifetime = this._tuning.reportTrust * holdMean * (1 + (this.report.queued / this.report.slots));
-		return (others - usual) * Math.exp((this.reportedAt - now) / lifetime);
+		return (others - usualOthers) * Math.exp((this.reportedAt - now) / lifetime);
 	}
 
 	/**
--- a/src/common/calls/demand-placer.ts
+++ b/src/common/calls/demand-placer.ts
@@ -80,7 +80,9 @@
  */
 const minOnTimeProbabilityWithoutReports = 0.5;
 
-/** A backend server on which a new call has a lower probability of an answer in time is used for late calls only. */
+/**
+ * Backend servers where a new call's probability of an answer in time is below this value are used for late calls only.
+ */
 const slowServerProbability = 0.35;
 
 /**
@@ -121,13 +123,13 @@
 };
 
 /**
- * Places attempts by load reports that were fetched for them or are as recent, for backend servers that slow down as they
- * fill up. An attempt goes to the backend server with the highest utility: the probabilities of its answer less the cost
- * of its bytes and of the slot time that it takes from other calls. A call waits a short time for a backend server that
- * is likely to answer in time. Free slots come first, since a call that is queued at a backend server cannot be moved any
- * more; queueing there is allowed only after the wait. A call that can no longer be answered in time must not take a fast
- * slot from one that can: it goes to a backend server that is too slow for new calls, else to one that is at most half
- * full, or is refused.
+ * Places attempts on backend servers that slow down as they fill up, by load reports that were fetched for the attempt or
+ * are as recent. An attempt goes to the backend server with the highest utility: the value of its probable answer less
+ * the cost of its bytes and of the slot time that it takes from other calls. A call waits a short time for a backend
+ * server that is likely to answer in time. Free slots come first, since a call that is queued at a backend server cannot
+ * be moved any more; queueing there is allowed only after the wait. A call that can no longer be answered in time must
+ * not take a fast slot from one that can: it goes to a backend server that is too slow for new calls, else to one that is
+ * at most half full, or is refused.
  */
 export class DemandPlacer implements Placer {
 	private readonly _context: EngineContext;
@@ -152,7 +154,7 @@
 	}
 
 	/**
-	 * Whether fresh reports already show a backend server with free slots that is likely enough to answer in time, so that
+	 * Whether fresh reports already show a lightly loaded backend server that is likely enough to answer in time, so that
 	 * more probes would have no effect.
 	 */
 	hasGoodPlace(call: Call, now: Instant): boolean {
@@ -171,9 +173,7 @@
 		return choice === undefined ? undefined : {server: best[choice].server!, isExperiment: false};
 	}
 
-	/**
-	 * Stores what is recorded about the service's backend servers for a call that is refused without a search for a place.
-	 */
+	/** Records the state of the service's backend servers for a call that is refused without a search for one. */
 	noteGrounds(call: Call, now: Instant): void {
 		call.grounds = {...this._bestServers(call, now, minOnTimeProbabilityAfterWait).grounds, choice: 'none'};
 	}
@@ -260,7 +260,10 @@
 		return call.serviceState.answerTimes.chance(workEstimate(call), {...this.prospect(server, now), load: 1}, objectiveOf(call)) < slowServerProbability;
 	}
 
-	/** Skips most probes of a silent backend server, so that its missing answers delay few calls. */
+	/**
+	 * Whether this call skips the probe. Most calls skip a silent backend server, so that its missing answers delay few of
+	 * them.
+	 */
 	private _isProbeSkipped(server: BackendServerState): boolean {
 		return server.unansweredMeasurings >= unansweredProbesUntilSilent && this._context.random.next() * callsPerSilentProbe >= 1;
 	}
--- a/src/common/calls/hedging.ts
+++ b/src/common/calls/hedging.ts
@@ -6,8 +6,8 @@
 import {type EngineContext} from './engine-context.ts';
 
 /**
- * Maximum attempts of one call, independent of the retry budget: a call that three backend servers fail is unlikely to
- * succeed on another.
+ * Maximum attempts of one call, independent of the retry budget: three backend servers that fail the same call are no
+ * coincidence.
  */
 export const mostAttempts = 3;
 
@@ -59,9 +59,9 @@
 	}
 
 	/**
-	 * Plans a hedge for an idempotent call without a body. Hedges help against single slow backend servers and lost
-	 * connections. They are limited by the retry budget and not sent while calls are queued, since in a burst a second
-	 * attempt takes the slot of another call's first one.
+	 * Plans a hedge for an idempotent call without a body, for the case that the call is slower than nearly all of its
+	 * class. Hedges help against single slow backend servers and lost connections. They are limited by the retry budget and
+	 * not sent while calls are queued, since in a burst a second attempt takes the slot of another call's first one.
 	 */
 	plan(attempt: Attempt, now: Instant): void {
 		const {call} = attempt;
@@ -80,7 +80,10 @@
 		}
 	}
 
-	/** Sends the planned hedge if it is allowed: the call is slower than nearly all of its class. */
+	/**
+	 * Called when a hedge is due. Postpones it while the first answer is still likely, else sends it to another backend
+	 * server if the queue, the concurrency limit and the retry budget allow.
+	 */
 	tryNow(attempt: Attempt, now: Instant): void {
 		const {call} = attempt;
 		const service = call.serviceState;
--- a/src/common/calls/load-prober.ts
+++ b/src/common/calls/load-prober.ts
@@ -35,7 +35,7 @@
 export type LoadProberOptions = {
 	readonly context: EngineContext;
 	readonly placer: DemandPlacer;
-	/** Sends a load probe; its end is reported by calling `onMeasured`. */
+	/** Sends a load probe; its end is reported by calling `onProbeEnded`. */
 	readonly measure: (server: BackendServerState) => void;
 	/** Called when all reports, or as many as came in time, are available. */
 	readonly onReady: (call: Call, probing: PendingProbes, now: Instant) => void;
@@ -49,7 +49,7 @@
 export class LoadProber {
 	private readonly _context: EngineContext;
 	private readonly _placer: DemandPlacer;
-	private readonly _measure: (server: BackendServerState) => void;
+	private readonly _sendProbe: (server: BackendServerState) => void;
 	private readonly _onReady: LoadProberOptions['onReady'];
 	/** Calls that wait for a report, by backend server. */
 	private readonly _waiting = new Map<BackendServerState, Set<Call>>();
@@ -57,7 +57,7 @@
 	constructor(options: LoadProberOptions) {
 		this._context = options.context;
 		this._placer = options.placer;
-		this._measure = options.measure;
+		this._sendProbe = options.measure;
 		this._onReady = options.onReady;
 	}
 
@@ -131,7 +131,7 @@
 		}
 
 		server.measuringSince = now;
-		this._measure(server);
+		this._sendProbe(server);
 		return true;
 	}
 
@@ -147,7 +147,7 @@
 	 */
 	private _finish(call: Call, probing: PendingProbes, now: Instant): void {
 		call.probing = undefined;
-		// With two rounds that timed out, a call has been held for reports as long as allowed.
+		// Two rounds that timed out are the longest that a call is held for reports.
 		const mayProbeAgain = probing.round < maxRounds && probing.candidates.length > 0 && now - probing.startedAt <= this._context.tuning.demandWaitMilliseconds;
 		if (mayProbeAgain && !this._placer.hasGoodPlace(call, now)) {
 			this._start(call, probing, {...probing, round: probing.round + 1}, now);
--- a/src/common/calls/measuring-schedule.ts
+++ b/src/common/calls/measuring-schedule.ts
@@ -61,7 +61,8 @@
 
 	/**
 	 * When the next measuring call is due: one spacing after the last call, and one spacing after the newest report, since
-	 * a report that came with an answer makes a measuring call redundant. Undefined while no call is allowed.
+	 * a report that came with an answer makes a measuring call redundant; the first call waits for the start phase.
+	 * Undefined while no call is allowed.
 	 */
 	dueAt(budget: MeasuringBudget, shares: FleetShares | undefined, need: MeasuringNeed, now: Instant): Instant | undefined {
 		const allowed = MeasuringSchedule.allowed(budget, shares, now);
--- a/src/common/calls/rate-limit.ts
+++ b/src/common/calls/rate-limit.ts
@@ -9,7 +9,7 @@
  */
 const tokensPerAttempt = 1;
 
-/** Capacity of the bucket, in seconds of the VM's share. */
+/** Capacity of the bucket: seconds of its share that a VM may save up. */
 const maxSavedSeconds = 0.25;
 
 const millisecondsPerSecond = 1000;
--- a/src/common/calls/tuning.ts
+++ b/src/common/calls/tuning.ts
@@ -17,8 +17,8 @@
 	/** Time constant with which the failure and shed rates of a backend server decay. */
 	readonly failureMemoryMilliseconds: Milliseconds;
 	/**
-	 * Factor by which the expected time of a backend server grows when all its calls fail, so that fast failures do not
-	 * attract calls.
+	 * Weight of the failure rate in the expected time of a backend server, so that fast failures do not attract calls: at
+	 * 30, one whose calls all fail looks 31 times slower.
 	 */
 	readonly failurePenalty: number;
 	/**
@@ -56,11 +56,14 @@
 	 */
 	readonly warmingMilliseconds: Milliseconds;
 	/**
-	 * Share of its slots that a new backend server is counted with at first. With none it would get no calls and never warm
-	 * up.
+	 * Fraction of its slots that a new backend server is assumed to have at first; with none it would get no calls and
+	 * never warm up.
 	 */
 	readonly warmingStart: number;
-	/** Length of the first ejection of a backend server that stopped answering. It doubles with each failed probe. */
+	/**
+	 * Length of the first ejection of a backend server that fails or has stopped answering. It doubles with each failed
+	 * probe.
+	 */
 	readonly ejectionMilliseconds: Milliseconds;
 	/** Upper bound of an ejection: an ejected backend server is probed at least this often. */
 	readonly longestEjectionMilliseconds: Milliseconds;
@@ -78,9 +81,7 @@
 	 * milliseconds the delay is as likely caused by this VM's own event loop, and hedges would add to it.
 	 */
 	readonly hedgeFloorMilliseconds: Milliseconds;
-	/**
-	 * Number of queued calls for each slot of the backend servers that the concurrency limit aims at. Infinity = no limit.
-	 */
+	/** Target of the concurrency limit: calls queued at the backend servers for each slot. Infinity = no limit. */
 	readonly queuedPerSlot: number;
 	/** Factor on the target queue length for each step of a service's priority. 1 = priorities have no effect. */
 	readonly priorityFactor: number;
@@ -99,7 +100,7 @@
 	 */
 	readonly demandCandidates: number;
 	/**
-	 * Age up to which a load report is used without a new probe: neighbours change at intervals of some hundred
+	 * Age up to which a load report is used without a new probe: neighbours change at intervals of a few hundred
 	 * milliseconds.
 	 */
 	readonly demandFreshMilliseconds: Milliseconds;
@@ -109,7 +110,7 @@
 	readonly suspicionMilliseconds: Milliseconds;
 };
 
-/** Defaults, chosen with the benchmark `policy`. */
+/** Default tuning. The benchmark `policy` compares it with neutral values of single constants. */
 export const defaultTuning: CallTuning = {
 	slownessMemoryMilliseconds: 1500,
 	failureMemoryMilliseconds: 3000,
