--- a/src/common/calls/tuning.ts
+++ b/src/common/calls/tuning.ts
@@ -17,8 +17,8 @@
 	/** Time constant with which the failure and shed rates of a backend server decay. */
 	readonly failureMemoryMilliseconds: Milliseconds;
 	/**
-	 * Weight of the failure rate in the expected time of a backend server, so that fast failures do not attract calls: at
-	 * 30, one whose calls all fail looks 31 times slower.
+	 * Weight of the failure rate in the expected time of a backend server: if all its calls fail, the time is multiplied by
+	 * 1 plus this value, so that fast failures do not attract calls.
 	 */
 	readonly failurePenalty: number;
 	/**
