--- a/src/common/calls/call-classes.ts
+++ b/src/common/calls/call-classes.ts
@@ -1,80 +1,83 @@
-/** What calls cost, learnt by class: a service's calls of one method and route, or else of one path pattern, cost alike. */
+/**
+ * Cost of calls, learnt by class: a service's calls with the same method and route, or without a route the same path
+ * pattern, form a class.
+ */
 import {type Milliseconds} from '../model/units.ts';
 import {DecayingHistogram} from './decaying-histogram.ts';
 import {type CallRequest} from './types.ts';
 
-/** Paths whose pattern is remembered. */
-const rememberedPaths = 512;
+/** Maximum number of paths whose pattern is cached. */
+const maxCachedPaths = 512;
 
 /** Samples over which means and quantiles are taken. */
-const memory = 500;
+const memorySamples = 500;
 
-/** Parts of a path that name one thing and not a kind of thing: with a digit, or long. */
+/** Path segments that identify a single item: with a digit, or at least 24 characters long. */
 const identifierPattern = /^(?:.*\d.*|.{24,})$/v;
 
-/** Segments of a path that tell classes apart. */
+/** Leading path segments that distinguish classes. */
 const significantSegments = 3;
 
-/** Cost of one class. */
+/** Cost of the calls of one class. */
 export class CallClass {
 	/** Mean time to the head of the answer. */
 	answerMean: Milliseconds;
-	/** Mean time that a slot is held: to the end of the answer. */
+	/** Mean time for which a slot is held: to the end of the answer. */
 	holdMean: Milliseconds;
-	/** Mean time of an answer at a backend server that nothing slows down; the mean of all until one was seen. */
+	/** Mean answer time at a backend server that nothing slows down; until such an answer was seen, the initial value. */
 	workMean: Milliseconds;
 	/** Mean size of a whole answer in bytes. */
 	answerBytesMean = 0;
-	readonly answerTimes = new DecayingHistogram(memory);
+	readonly answerTimes = new DecayingHistogram(memorySamples);
 	private _count = 0;
 	private _workCount = 0;
 
-	/** Before the first answer the mean of the whole service stands in. */
-	constructor(guess: Milliseconds) {
-		this.answerMean = guess;
-		this.holdMean = guess;
-		this.workMean = guess;
+	/** `initialMilliseconds` stands in for all times before the first answer; it is the mean of the whole service. */
+	constructor(initialMilliseconds: Milliseconds) {
+		this.answerMean = initialMilliseconds;
+		this.holdMean = initialMilliseconds;
+		this.workMean = initialMilliseconds;
 	}
 
 	addAnswer(time: Milliseconds): void {
 		this._count++;
-		this.answerMean += (time - this.answerMean) / Math.min(this._count, memory);
+		this.answerMean += (time - this.answerMean) / Math.min(this._count, memorySamples);
 		this.answerTimes.add(time);
 	}
 
-	/** An answer of a backend server with free slots and a quiet VM. */
+	/** Adds an answer of a backend server with free slots on a quiet VM. */
 	addWork(time: Milliseconds): void {
 		this._workCount++;
-		this.workMean += (time - this.workMean) / Math.min(this._workCount, memory);
+		this.workMean += (time - this.workMean) / Math.min(this._workCount, memorySamples);
 	}
 
-	/** An answer has told how long the work takes. */
+	/** Whether the work time has been measured. */
 	get hasWork(): boolean {
 		return this._workCount > 0;
 	}
 
 	addBytes(bytes: number): void {
-		this.answerBytesMean += (bytes - this.answerBytesMean) / Math.min(Math.max(1, this._count), memory);
+		this.answerBytesMean += (bytes - this.answerBytesMean) / Math.min(Math.max(1, this._count), memorySamples);
 	}
 
 	addHold(time: Milliseconds): void {
-		this.holdMean += (time - this.holdMean) / Math.min(Math.max(1, this._count), memory);
+		this.holdMean += (time - this.holdMean) / Math.min(Math.max(1, this._count), memorySamples);
 	}
 }
 
-/** All classes of one service. */
+/** All call classes of one service. */
 export class CallClasses {
 	private readonly _classes = new Map<string, CallClass>();
-	/** Classes of routes, the one called last at the end. */
+	/** Classes of routes, least recently called first. */
 	private readonly _routes = new Map<string, CallClass>();
 	private readonly _patterns = new Map<string, string>();
 	private readonly _all: CallClass;
-	private readonly _most: number;
+	private readonly _maxClasses: number;
 
-	/** `most` = most classes kept: paths are made by callers, so their number must not grow with them. */
-	constructor(guess: Milliseconds, most: number) {
-		this._all = new CallClass(guess);
-		this._most = most;
+	/** `maxClasses` = maximum number of classes kept: callers choose the paths, so memory must not grow with them. */
+	constructor(initialMilliseconds: Milliseconds, maxClasses: number) {
+		this._all = new CallClass(initialMilliseconds);
+		this._maxClasses = maxClasses;
 	}
 
 	/** Mean over all calls of the service. */
@@ -82,59 +85,59 @@
 		return this._all;
 	}
 
-	/** The class of a call; calls without a route beyond the number of classes share the service's mean. */
+	/** The class of a call. Without a route, calls of new classes beyond the maximum share the mean of the service. */
 	classOf(request: CallRequest): CallClass {
 		if (request.rule !== undefined) {
-			return this._ofRoute(`${request.method} ${request.rule.route}`);
+			return this._classOfRoute(`${request.method} ${request.rule.route}`);
 		}
 
 		const key = request.path === undefined ? request.method : `${request.method} ${this._patternOf(request.path)}`;
-		const known = this._classes.get(key);
-		if (known !== undefined) {
-			return known;
+		const existing = this._classes.get(key);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		if (this._classes.size >= this._most) {
+		if (this._classes.size >= this._maxClasses) {
 			return this._all;
 		}
 
-		return this._make(this._classes, key);
+		return this._create(this._classes, key);
 	}
 
 	/**
-	 * Guards a route that was just added: judged by what the calls of other routes have taken, its calls would be refused
-	 * as too long for its timeout while every backend server is idle, and never teach anything else. It starts knowing
-	 * nothing. Operators name routes and replace them, so of too many those that were not called for longest are forgotten.
+	 * A route has a class of its own from its first call. Judged by the calls of other routes, the calls of a new route
+	 * could be refused as too long for its timeout while every backend server is idle, so that nothing would ever be learnt
+	 * about it. Operators name routes and replace them, so beyond the maximum the least recently called one is dropped.
 	 */
-	private _ofRoute(key: string): CallClass {
-		const known = this._routes.get(key);
-		if (known === undefined) {
-			if (this._routes.size >= this._most) {
+	private _classOfRoute(key: string): CallClass {
+		const existing = this._routes.get(key);
+		if (existing === undefined) {
+			if (this._routes.size >= this._maxClasses) {
 				const [oldest] = this._routes.keys();
 				this._routes.delete(oldest!);
 			}
 
-			return this._make(this._routes, key);
+			return this._create(this._routes, key);
 		}
 
 		this._routes.delete(key);
-		this._routes.set(key, known);
-		return known;
+		this._routes.set(key, existing);
+		return existing;
 	}
 
-	private _make(classes: Map<string, CallClass>, key: string): CallClass {
-		const made = new CallClass(this._all.answerMean);
-		classes.set(key, made);
-		return made;
+	private _create(classes: Map<string, CallClass>, key: string): CallClass {
+		const created = new CallClass(this._all.answerMean);
+		classes.set(key, created);
+		return created;
 	}
 
 	private _patternOf(path: string): string {
-		const remembered = this._patterns.get(path);
-		if (remembered !== undefined) {
-			return remembered;
+		const cached = this._patterns.get(path);
+		if (cached !== undefined) {
+			return cached;
 		}
 
-		if (this._patterns.size >= rememberedPaths) {
+		if (this._patterns.size >= maxCachedPaths) {
 			this._patterns.clear();
 		}
 
