--- a/src/common/protocol/dialect.ts
+++ b/src/common/protocol/dialect.ts
@@ -1,72 +1,75 @@
-/** How jaydale speaks HTTP with callers and backend servers: which headers say what. One class for each way of speaking. */
+/** The mapping between HTTP messages and the call engine's terms. Each dialect is one set of headers, bodies and their meanings. */
 import {
 	type BackendServerIdentity, type CallOutcome, type LoadReport, type RateLimitNotice, type RefusalReason,
 } from '../calls/types.ts';
 import {type Milliseconds} from '../model/units.ts';
 
-/** Headers by lower-case name. */
+/** Headers, keyed by lower-case name. */
 export type HeaderMap = Readonly<Record<string, string | string[] | undefined>>;
 
-/** What an attempt tells its backend server, beside the caller's own headers. */
+/** Values that jaydale adds to an attempt's request, besides the caller's own headers. */
 export type AttemptFacts = {
-	/** Time left for the attempt. */
+	/** Time remaining until the attempt's deadline. */
 	readonly timeoutMilliseconds: Milliseconds;
 	readonly identity: BackendServerIdentity;
-	/** W3C trace context to pass on, where the dialect has one. */
+	/** W3C trace context to forward; undefined if the dialect does not use it. */
 	readonly traceparent: string | undefined;
 };
 
-/** What the head of an answer says. */
+/** Values parsed from the head of a backend server's answer. */
 export type AnswerReading = {
-	/** False = it is another call's answer, or lacks the proof that a backend server made it for this one. */
+	/** False if the answer belongs to another call, or lacks the proof that a backend server produced it for this call. */
 	readonly isOwn: boolean;
-	/** The backend server says in the agreed form that it did not run the call. */
+	/** The answer carries the dialect's declaration that the backend server did not run the call. */
 	readonly isDeclaredNotRun: boolean;
 	readonly report: LoadReport | undefined;
-	/** Undefined = the answer names none. */
+	/** Undefined if the answer contains no rate limit. */
 	readonly rateLimit?: RateLimitNotice;
 };
 
-/** A call that is given up, as far as its caller is told. */
+/** The parts of a refused call that its caller can see. */
 export type Refusal = {
 	readonly status: number;
 	readonly reason: RefusalReason;
 	readonly outcome: CallOutcome;
-	/** When to come back; undefined = coming back does not help. */
+	/** Delay after which the caller may retry; undefined if a retry would not help. */
 	readonly retryAfterMilliseconds: Milliseconds | undefined;
 };
 
-/** Head and body of an answer that jaydale makes itself. */
+/** Headers and body of an answer that jaydale generates itself. */
 export type OwnAnswer = {
 	readonly headers: Readonly<Record<string, string | number>>;
 	readonly body: string;
 };
 
-/** One way of speaking. */
+/** Encodes and parses the messages of one dialect. Header lists are flat: name, value, name, value ... */
 export type Dialect = {
-	/** Answers up to this many bytes are held until they are whole, so that one that breaks off can be tried elsewhere; 0 = none is. */
+	/**
+	 * Answers of up to this many bytes are buffered until they are complete, so that the call can be retried on another
+	 * backend server if the answer breaks off; 0 disables the buffering.
+	 */
 	readonly heldAnswerBytes: number;
-	/** Headers of an attempt, as a flat list of names and values. */
-	attemptHeaders(ofCaller: HeaderMap, facts: AttemptFacts): string[];
-	/** Reads the head of an answer to a call that had these headers. */
-	readAnswer(status: number, headers: HeaderMap, ofCaller: HeaderMap): AnswerReading;
-	/** Headers that pass on to the caller, as a flat list. */
+	/** Returns the headers of an attempt. */
+	attemptHeaders(callerHeaders: HeaderMap, facts: AttemptFacts): string[];
+	/** Parses the head of an answer; `callerHeaders` are the headers of the call that it answers. */
+	readAnswer(status: number, headers: HeaderMap, callerHeaders: HeaderMap): AnswerReading;
+	/** Returns the headers to send to the caller, given those of the backend server's answer. */
 	answerHeaders(headers: HeaderMap, outcome: CallOutcome): string[];
-	/** The answer of a call that is given up. */
+	/** Returns the answer to a refused call. */
 	refusal(refusal: Refusal): OwnAnswer;
-	/** Reads the answer to a measuring call that was meant for this backend server; undefined = it says nothing. */
+	/** Parses the answer to a load probe of this backend server; undefined if it contains no usable load report. */
 	readMeasurement(identity: BackendServerIdentity, status: number, headers: HeaderMap, body: string): LoadReport | undefined;
 };
 
-/** What a routed call's head says beside its route. */
+/** Values parsed from the head of a routed call, besides its route. */
 export type RequestReading = {
-	/** Identifies the call in all log lines, here and at its caller. */
+	/** Identifies the call in all log lines, both here and at its caller. */
 	readonly traceId: string;
-	/** Time left as its caller said; undefined = the route's own limit. */
+	/** Time remaining according to the caller; undefined if the route's timeout applies. */
 	readonly timeoutMilliseconds: Milliseconds | undefined;
 };
 
-/** A way of speaking in which calls are told apart by host and path. */
+/** A dialect in which the host and path of a call determine its route. */
 export type RoutedDialect = Dialect & {
 	readRequest(headers: HeaderMap): RequestReading;
 };
--- a/src/common/protocol/forwarding.ts
+++ b/src/common/protocol/forwarding.ts
@@ -1,4 +1,4 @@
-/** Which headers cross jaydale, in each direction (RFC 9110, 7.6.1, and the `jaydale-` namespace). */
+/** Selects the headers to forward, in both directions: drops hop-by-hop headers (RFC 9110, 7.6.1) and the `jaydale-` namespace. */
 
 const hopByHopNames: ReadonlySet<string> = new Set([
 	'connection',
@@ -13,15 +13,15 @@
 	'expect',
 ]);
 
-/** Passed on with a value of this VM's own. */
-const rewrittenName = 'traceparent';
+/** Not copied: this VM sends its own value. */
+const regeneratedName = 'traceparent';
 
 const internalPrefix = 'jaydale-';
 
 type HeaderValue = string | string[] | undefined;
 type HeaderMap = Readonly<Record<string, HeaderValue>>;
 
-/** Names that a `Connection` header declares to be for this hop alone. */
+/** Returns the header names that the `Connection` header lists as hop-by-hop. */
 function declaredHopByHop(headers: HeaderMap): ReadonlySet<string> {
 	const {connection} = headers;
 	if (connection === undefined || connection === 'keep-alive' || connection === 'close') {
@@ -32,16 +32,15 @@
 }
 
 /**
- * The headers that pass on, as a flat list of names and values for undici or node:http. Guards against
- * forged internal headers: a caller that sends its own `jaydale-outcome`, load report or retry mark
- * would be believed by the other side, so everything under `jaydale-` stops here.
+ * Returns the headers to forward, as a flat list of names and values for undici or node:http. Drops everything under
+ * `jaydale-`, because the other side would trust a forged `jaydale-outcome`, load report or retry header.
  */
 export function forwardedHeaders(headers: HeaderMap): string[] {
 	const declared = declaredHopByHop(headers);
 	const forwarded: string[] = [];
 	for (const name of Object.keys(headers)) {
 		const value = headers[name];
-		if (value === undefined || hopByHopNames.has(name) || name === rewrittenName || name.startsWith(internalPrefix) || declared.has(name)) {
+		if (value === undefined || hopByHopNames.has(name) || name === regeneratedName || name.startsWith(internalPrefix) || declared.has(name)) {
 			continue;
 		}
 
--- a/src/common/protocol/headers.ts
+++ b/src/common/protocol/headers.ts
@@ -1,46 +1,46 @@
 /**
- * What jaydale, its callers and its backend servers say to one another in HTTP, besides HTTP itself.
- * Everything under `jaydale-` that a caller sends, other than the request headers named here, is dropped.
+ * HTTP headers and paths that jaydale, its callers and its backend servers use beyond standard HTTP.
+ * All other `jaydale-` headers that a caller sends are dropped.
  */
 
-/** Path prefix of calls: `/services/NAME/REST` runs `/REST` on a backend server of service NAME. */
+/** Path prefix of calls: `/services/NAME/REST` is sent as `/REST` to a backend server of service NAME. */
 export const callPathPrefix = '/services/';
 
-/** Callers ask here which VMs to use: `GET /jaydale/addresses?service=NAME`. */
+/** Endpoint from which callers fetch the VMs to use for a service: `GET /jaydale/addresses?service=NAME`. */
 export const addressesPath = '/jaydale/addresses';
 
-/** Request: milliseconds the caller will still wait. Remaining time, so that clocks need not agree. */
+/** Request: remaining time in milliseconds until the caller's deadline. Relative, so that clocks need not be synchronised. */
 export const timeoutHeader = 'jaydale-timeout-milliseconds';
 
-/** Request: the caller's name, for fair sharing; without it the caller's address counts. */
+/** Request: the caller's name, for fair sharing between callers; the default is the caller's address. */
 export const callerHeader = 'jaydale-caller';
 
-/** Request and call to a backend server: `none` if a level above has kept retrying for itself. */
+/** Request and call to a backend server: `none` if a client further up the call chain does the retries itself. */
 export const retryHeader = 'jaydale-retries';
 
-/** Request: names this run of the call for the services that claim keys (IETF httpapi draft). */
+/** Request: identifies this call to services that claim idempotency keys (IETF httpapi draft). */
 export const idempotencyKeyHeader = 'idempotency-key';
 
 /** Answer to the caller: `ran`, `not-run` or `unknown`. */
 export const outcomeHeader = 'jaydale-outcome';
 
-/** Answer of a backend server that sheds a call: `not-run` is its word that nothing ran. */
+/** Answer of a backend server that sheds a call: `not-run` declares that nothing was executed. */
 export const declaredNotRunHeader = 'jaydale-not-run';
 
-/** Answer of a backend server: `in-flight=3, queued=0, slots=6, instance=a1b2`. */
+/** Answer of a backend server: its load report, as in `in-flight=3, queued=0, slots=6, instance=a1b2`. */
 export const loadReportHeader = 'jaydale-load';
 
-/** Answer of a backend server that has begun to leave: `true`. */
+/** Answer of a backend server: `true` once it has begun to shut down. */
 export const leavingHeader = 'jaydale-leaving';
 
-/** Both ways: one identifier that follows a call through logs (W3C trace context). */
+/** Request and call to a backend server: trace identifier that correlates the log lines of a call (W3C trace context). */
 export const traceHeader = 'traceparent';
 
-/** Load endpoint of a backend server: answers `{inFlight, queued, slots, instance, isLeaving}`. */
+/** Load endpoint of a backend server: returns `{inFlight, queued, slots, instance, isLeaving}` as JSON. */
 export const loadPath = '/load';
 
-/** Health endpoint of a backend server: 200 while it serves, 503 once it has begun to leave. */
+/** Health endpoint of a backend server: 200 while it accepts calls, 503 once it has begun to shut down. */
 export const healthPath = '/health';
 
-/** Prefix of problem types (RFC 9457). */
+/** Prefix of `type` in problem bodies (RFC 9457). */
 export const problemTypePrefix = 'urn:jaydale:problem:';
--- a/src/common/protocol/jaydale-dialect.ts
+++ b/src/common/protocol/jaydale-dialect.ts
@@ -1,4 +1,4 @@
-/** jaydale's own way of speaking: the `jaydale-` headers, problem bodies (RFC 9457) and the load endpoint. */
+/** jaydale's own dialect: the `jaydale-` headers, problem bodies (RFC 9457) and the load endpoint. */
 import {type BackendServerIdentity, type CallOutcome, type LoadReport} from '../calls/types.ts';
 import {
 	type AnswerReading, type AttemptFacts, type Dialect, type HeaderMap, type OwnAnswer, type Refusal,
@@ -9,14 +9,14 @@
 } from './headers.ts';
 import {parseLoadBody, parseLoadHeader} from './load-report.ts';
 
-const largestLoadBody = 4096;
+const maxLoadBodyCharacters = 4096;
 
 export class JaydaleDialect implements Dialect {
-	/** Every answer passes on as it comes: a broken one is resumed by its validator. */
+	/** Answers are streamed without buffering; one that breaks off is resumed from its offset if it has a validator. */
 	readonly heldAnswerBytes = 0;
 
-	attemptHeaders(ofCaller: HeaderMap, {timeoutMilliseconds, traceparent}: AttemptFacts): string[] {
-		const headers = forwardedHeaders(ofCaller);
+	attemptHeaders(callerHeaders: HeaderMap, {timeoutMilliseconds, traceparent}: AttemptFacts): string[] {
+		const headers = forwardedHeaders(callerHeaders);
 		headers.push(timeoutHeader, String(Math.max(1, Math.floor(timeoutMilliseconds))), retryHeader, 'none');
 		if (traceparent !== undefined) {
 			headers.push(traceHeader, traceparent);
@@ -59,6 +59,6 @@
 	}
 
 	readMeasurement(_identity: BackendServerIdentity, _status: number, _headers: HeaderMap, body: string): LoadReport | undefined {
-		return body.length > largestLoadBody ? undefined : parseLoadBody(JSON.parse(body));
+		return body.length > maxLoadBodyCharacters ? undefined : parseLoadBody(JSON.parse(body));
 	}
 }
--- a/src/common/protocol/load-report.ts
+++ b/src/common/protocol/load-report.ts
@@ -1,9 +1,9 @@
-/** The load report as backend servers write it, on answers and at their load endpoint. */
+/** Parsers for the load report of a backend server: as an answer header and as the body of the load endpoint. */
 import * as z from 'zod';
 import {type LoadReport} from '../calls/types.ts';
 
-const largestCount = 1_000_000;
-const countSchema = z.coerce.number().int().min(0).max(largestCount);
+const maxCount = 1_000_000;
+const countSchema = z.coerce.number().int().min(0).max(maxCount);
 
 /** Body of the load endpoint. */
 export const loadBodySchema = z.object({
@@ -14,25 +14,25 @@
 	isLeaving: z.boolean().default(false),
 });
 
-/** Body of the load endpoint as a report; undefined if it says nothing usable. */
+/** Parses the body of the load endpoint; undefined if it is not a valid load report. */
 export function parseLoadBody(body: unknown): LoadReport | undefined {
 	const parsed = loadBodySchema.safeParse(body);
 	return parsed.success ? {...parsed.data, instance: parsed.data.instance} : undefined;
 }
 
-function count(text: string | undefined): number | undefined {
+function parseCount(text: string | undefined): number | undefined {
 	if (text === undefined || !/^\d{1,7}$/v.test(text)) {
 		return undefined;
 	}
 
 	const value = Number(text);
-	return value <= largestCount ? value : undefined;
+	return value <= maxCount ? value : undefined;
 }
 
-/** The form that backend servers write, in its usual order: read in one step, other forms field by field. */
-const usualForm = /^in-flight=(\d+), queued=(\d+), slots=(\d+), instance=([^,\s]*)$/v;
+/** The usual order of fields, parsed with one pattern. Any other order is parsed field by field. */
+const canonicalPattern = /^in-flight=(\d+), queued=(\d+), slots=(\d+), instance=([^,\s]*)$/v;
 
-function reportOf(
+function createReport(
 	inFlight: number | undefined,
 	queued: number | undefined,
 	slots: number | undefined,
@@ -49,17 +49,17 @@
 }
 
 /**
- * Parses `in-flight=3, queued=0, slots=6, instance=a1b2`. Runs once an answer: by hand, since a schema
- * costs more than the rest of the head's handling. A report that cannot be read counts as none.
+ * Parses `in-flight=3, queued=0, slots=6, instance=a1b2`; undefined if the text is missing or malformed. Written without a
+ * schema because it runs for every answer, and validation by schema costs more than all other handling of the head.
  */
 export function parseLoadHeader(text: string | undefined, isLeaving: boolean): LoadReport | undefined {
 	if (text === undefined || text.length > 256) {
 		return undefined;
 	}
 
-	const usual = usualForm.exec(text);
-	if (usual !== null) {
-		return reportOf(count(usual[1]), count(usual[2]), count(usual[3]), usual[4], isLeaving);
+	const canonicalMatch = canonicalPattern.exec(text);
+	if (canonicalMatch !== null) {
+		return createReport(parseCount(canonicalMatch[1]), parseCount(canonicalMatch[2]), parseCount(canonicalMatch[3]), canonicalMatch[4], isLeaving);
 	}
 
 	const fields = new Map<string, string>();
@@ -70,5 +70,5 @@
 		}
 	}
 
-	return reportOf(count(fields.get('in-flight')), count(fields.get('queued')), count(fields.get('slots')), fields.get('instance'), isLeaving);
+	return createReport(parseCount(fields.get('in-flight')), parseCount(fields.get('queued')), parseCount(fields.get('slots')), fields.get('instance'), isLeaving);
 }
--- a/src/common/routing/route-table.ts
+++ b/src/common/routing/route-table.ts
@@ -1,38 +1,38 @@
-/** Finds the route of a call: by host, then by the longest prefix of its path. */
+/** Route lookup: exact match on the host, then longest-prefix match on the path. */
 import {type RandomSource} from '../model/units.ts';
 import {type Route} from './types.ts';
 import {WeightedSplit} from './weighted-split.ts';
 
-/** A route, and the service that this call of it goes to. */
+/** The matched route and the service chosen for one call. */
 export type RoutedCall = {readonly route: Route; readonly service: string};
 
-type Entry = {readonly route: Route; readonly split: WeightedSplit};
+type RouteEntry = {readonly route: Route; readonly split: WeightedSplit};
 
-/** Host and path of a call: the name alone, in lower case, since a port says nothing of who is meant. */
-function hostName(host: string): string {
+/** Returns the host in lower case and without its port: routes are configured by host name only. */
+function normalizedHost(host: string): string {
 	const colon = host.lastIndexOf(':');
 	return (colon === -1 || host.endsWith(']') ? host : host.slice(0, colon)).toLowerCase();
 }
 
 /**
- * The routes in force. Prefixes end with a slash, so the longest one that fits is found by cutting the path at its
- * slashes from the end: the cost grows with the depth of the path and not with the number of routes.
+ * The active routes. Every prefix ends with a slash, so `match` shortens the path at its slashes from the end until a
+ * prefix is found. The cost depends on the depth of the path and not on the number of routes.
  */
 export class RouteTable {
 	private readonly _random: RandomSource;
-	private _hosts = new Map<string, Map<string, Entry>>();
+	private _hosts = new Map<string, Map<string, RouteEntry>>();
 
 	constructor(random: RandomSource) {
 		this._random = random;
 	}
 
-	/** Puts other routes in force. A split that has not changed goes on where it stood. */
+	/** Replaces all routes. A weighted split whose parts are unchanged keeps its position in the sequence. */
 	replace(routes: readonly Route[]): void {
-		const hosts = new Map<string, Map<string, Entry>>();
+		const hosts = new Map<string, Map<string, RouteEntry>>();
 		for (const route of routes) {
-			const known = this._hosts.get(route.host)?.get(route.prefix);
-			const split = known?.split.isOf(route.parts) === true ? known.split : new WeightedSplit(route.parts, this._random.next());
-			const prefixes = hosts.get(route.host) ?? new Map<string, Entry>();
+			const existing = this._hosts.get(route.host)?.get(route.prefix);
+			const split = existing?.split.hasSameParts(route.parts) === true ? existing.split : new WeightedSplit(route.parts, this._random.next());
+			const prefixes = hosts.get(route.host) ?? new Map<string, RouteEntry>();
 			prefixes.set(route.prefix, {route, split});
 			hosts.set(route.host, prefixes);
 		}
@@ -40,9 +40,9 @@
 		this._hosts = hosts;
 	}
 
-	/** The route of a call and the service whose turn it is; undefined = no route fits. */
+	/** Returns the route and the service for the next call of it, or undefined if no route matches. */
 	match(host: string, url: string): RoutedCall | undefined {
-		const prefixes = this._hosts.get(hostName(host));
+		const prefixes = this._hosts.get(normalizedHost(host));
 		if (prefixes === undefined) {
 			return undefined;
 		}
--- a/src/common/routing/routing.test.ts
+++ b/src/common/routing/routing.test.ts
@@ -19,7 +19,7 @@
 	return table;
 }
 
-describe('routes', () => {
+describe('RouteTable', () => {
 	const table = tableOf(route('one', '/'), route('one', '/a/'), route('one', '/a/b/'), route('two', '/a/'));
 	const cases: ReadonlyArray<readonly [string, string, string | undefined]> = [
 		['one', '/a/b/c', '/a/b/'],
@@ -34,21 +34,21 @@
 		['', '/a/', undefined],
 	];
 	for (const [host, url, expected] of cases) {
-		it(`finds ${expected ?? 'nothing'} for ${host}${url}`, () => {
+		it(`matches ${expected ?? 'no route'} for ${host}${url}`, () => {
 			expect(table.match(host, url)?.route.prefix).toEqual(expected);
 		});
 	}
 
-	it('puts others in force and forgets those that are gone', () => {
+	it('replaces all routes and no longer matches removed ones', () => {
 		const changing = tableOf(route('one', '/a/'));
 		changing.replace([route('one', '/b/')]);
 		expect([changing.match('one', '/a/x')?.service, changing.match('one', '/b/x')?.service]).toEqual([undefined, 'one/b/']);
 	});
 });
 
-describe('a split by weight', () => {
-	// Guards small weights against chance where each VM sees few calls.
-	it('keeps each part within a tenth of its weight on few calls on each of many VMs', () => {
+describe('WeightedSplit', () => {
+	// A random choice would miss small weights by far when each VM receives only a few calls.
+	it('keeps the share of each part within 0.1 of its weight over 20 calls on each of 16 VMs', () => {
 		fc.assert(fc.property(fc.integer({min: 5, max: 95}), fc.integer({min: 1, max: 1_000_000}), (weight, seed) => {
 			const random = seededRandom(seed);
 			let count = 0;
@@ -63,20 +63,20 @@
 		}), {seed: 4242});
 	});
 
-	it('gives nothing to a part without weight', () => {
+	it('never chooses a part of weight zero', () => {
 		const split = new WeightedSplit([{service: 'none', weight: 0}, {service: 'all', weight: 1}], 0);
 		expect(new Set(Array.from({length: 50}, () => split.next()))).toEqual(new Set(['all']));
 	});
 
-	it('goes on where it stood when other routes change', () => {
+	it('keeps its position when other routes change', () => {
 		const parts = [{service: 'x', weight: 1}, {service: 'y', weight: 1}];
 		const table = tableOf(route('one', '/', parts));
-		const dealt: string[] = [];
+		const chosenServices: string[] = [];
 		for (let call = 0; call < 100; call++) {
-			dealt.push(table.match('one', '/')!.service);
+			chosenServices.push(table.match('one', '/')!.service);
 			table.replace([route('one', '/', parts), route('one', `/${call}/`)]);
 		}
 
-		expect(Math.abs(dealt.filter(service => service === 'x').length - 50) <= 2).toEqual(true);
+		expect(Math.abs(chosenServices.filter(service => service === 'x').length - 50) <= 2).toEqual(true);
 	});
 });
--- a/src/common/routing/types.ts
+++ b/src/common/routing/types.ts
@@ -1,37 +1,36 @@
-/** Routes: which calls go to which services, and by which rules. */
+/** Routes: which services receive which calls, and which rules apply to the calls. */
 import {type CallRule} from '../calls/types.ts';
 import {type Milliseconds} from '../model/units.ts';
 
-/** A part of a split. */
+/** One service of a weighted split. */
 export type SplitPart = {
 	readonly service: string;
-	/** Share of the route's calls, relative to the other parts. */
+	/** Weight relative to the other parts. */
 	readonly weight: number;
 };
 
-/** One route. */
 export type Route = {
 	readonly name: string;
-	/** Host of the calls, in lower case and without a port. */
+	/** Host name in lower case, without a port. */
 	readonly host: string;
-	/** Beginning of their paths; begins and ends with a slash. */
+	/** Path prefix; begins and ends with a slash. */
 	readonly prefix: string;
-	/** One service, or several that share the calls by weight. */
+	/** One service, or several that receive the calls in proportion to their weights. */
 	readonly parts: readonly SplitPart[];
 	readonly rule: CallRule;
 };
 
-/** What callers may send, and how long they may take. */
+/** Size and time limits for requests of callers. */
 export type CallerLimits = {
 	readonly headBytes: number;
 	readonly bodyBytes: number;
-	/** Time for a whole head to come in. */
+	/** Timeout for receiving the complete request head. */
 	readonly headMilliseconds: Milliseconds;
-	/** How long an idle connection is kept. */
+	/** Keep-alive timeout of an idle connection. */
 	readonly idleMilliseconds: Milliseconds;
 };
 
-/** All routes in force, with the limits that go with them. */
+/** All active routes and the limits that apply to their callers. */
 export type Routing = {
 	readonly routes: readonly Route[];
 	readonly limits: CallerLimits;
--- a/src/common/routing/weighted-split.ts
+++ b/src/common/routing/weighted-split.ts
@@ -1,43 +1,44 @@
-/** Deals the calls of a route out to its services by weight. */
+/** Weighted choice among the services of a route, as a low-discrepancy sequence. */
 import {type SplitPart} from './types.ts';
 
-/** Step of the golden ratio: any run of n steps spreads over the circle with gaps of about 1/n. */
-const step = (Math.sqrt(5) - 1) / 2;
+/** Fractional part of the golden ratio: n consecutive steps around a circle leave gaps of about 1/n between the points. */
+const goldenRatioStep = (Math.sqrt(5) - 1) / 2;
 
 /**
- * Walks round a circle whose arcs are the parts. Made for few calls on each of many VMs: with chance alone a part of
- * one tenth would get between 5 and 15 of a hundred calls; steps of the golden ratio keep every run within about one
- * call of its share, and a start of its own on each VM keeps the VMs from rounding the same way.
+ * Each part is an arc of a circle, as long as its weight; each call advances the position by the golden ratio and takes the
+ * part at the new position. A random choice would be too uneven for few calls on each of many VMs: a part with a tenth of the
+ * weight would receive between 5 and 15 of a hundred calls. With golden-ratio steps any run of calls deviates from the
+ * weights by about one call. Each VM starts at its own random position, so that the deviations of the VMs do not add up.
  */
 export class WeightedSplit {
 	private readonly _parts: readonly SplitPart[];
-	private readonly _total: number;
+	private readonly _totalWeight: number;
 	private _position: number;
 
-	/** `start` = where on the circle to begin, 0 to 1. */
-	constructor(parts: readonly SplitPart[], start: number) {
+	/** `startPosition`: initial position on the circle, 0 to 1. */
+	constructor(parts: readonly SplitPart[], startPosition: number) {
 		this._parts = parts;
-		this._total = parts.reduce((sum, part) => sum + part.weight, 0);
-		this._position = start;
+		this._totalWeight = parts.reduce((sum, part) => sum + part.weight, 0);
+		this._position = startPosition;
 	}
 
-	/** True if it deals out to the same parts by the same weights. */
-	isOf(parts: readonly SplitPart[]): boolean {
+	/** True if `parts` has the same services with the same weights in the same order. */
+	hasSameParts(parts: readonly SplitPart[]): boolean {
 		return parts.length === this._parts.length
 			&& parts.every((part, index) => part.service === this._parts[index]!.service && part.weight === this._parts[index]!.weight);
 	}
 
-	/** The service that gets the next call. */
+	/** Returns the service for the next call. */
 	next(): string {
 		if (this._parts.length === 1) {
 			return this._parts[0]!.service;
 		}
 
-		this._position = (this._position + step) % 1;
-		let left = this._position * this._total;
+		this._position = (this._position + goldenRatioStep) % 1;
+		let remaining = this._position * this._totalWeight;
 		for (const part of this._parts) {
-			left -= part.weight;
-			if (left < 0) {
+			remaining -= part.weight;
+			if (remaining < 0) {
 				return part.service;
 			}
 		}
--- a/src/node/front/answer-at-stop.test.ts
+++ b/src/node/front/answer-at-stop.test.ts
@@ -2,7 +2,7 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {expect} from 'earl';
 import {DisposableStore, toDisposable} from '../../common/lifecycle/disposable.ts';
-import {startFront, startRaw} from './test-utilities.test.ts';
+import {startFrontend, startRawServer} from './test-utilities.test.ts';
 
 /** More than the system takes in for a caller that does not read, so that the rest waits in the process. */
 const answerBytes = 16_000_000;
@@ -12,13 +12,13 @@
 		// Guards a download that its caller reads slowly against the end of idle connections.
 		it(`hands an answer that is in whole over to its caller: ${step}`, async () => {
 			const store = new DisposableStore();
-			const port = await startRaw(store, socket => {
+			const port = await startRawServer(store, socket => {
 				socket.on('data', () => {
 					socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${answerBytes}\r\nconnection: close\r\n\r\n`);
 					socket.write(Buffer.alloc(answerBytes, 'a'));
 				});
 			});
-			const {url, ended, server} = await startFront(store, [port], {stallMilliseconds: 5000});
+			const {url, ended, server} = await startFrontend(store, [port], {stallMilliseconds: 5000});
 			const {hostname, port: listener, pathname} = new URL(url);
 			const caller = connect(Number(listener), hostname);
 			store.add(toDisposable(() => caller.destroy()));
@@ -46,14 +46,14 @@
 
 describe('an answer that is in whole', () => {
 	/** A caller of a listener that has all of a large answer; the caller has read nothing of it. */
-	async function leaveUnread(store: DisposableStore, ownLimits: {readonly stallMilliseconds: number; readonly handOverMilliseconds: number}) {
-		const port = await startRaw(store, socket => {
+	async function startUnreadAnswer(store: DisposableStore, limitOverrides: {readonly stallMilliseconds: number; readonly handOverMilliseconds: number}) {
+		const port = await startRawServer(store, socket => {
 			socket.on('data', () => {
 				socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${answerBytes}\r\nconnection: close\r\n\r\n`);
 				socket.write(Buffer.alloc(answerBytes, 'a'));
 			});
 		});
-		const {url, ended, server} = await startFront(store, [port], ownLimits);
+		const {url, ended, server} = await startFrontend(store, [port], limitOverrides);
 		const {hostname, port: listener, pathname} = new URL(url);
 		const caller = connect(Number(listener), hostname);
 		caller.on('error', () => undefined);
@@ -69,7 +69,7 @@
 	// Guards planned stops and memory against a caller that takes nothing of its answer.
 	it('is given up when its caller takes nothing of it for long', async () => {
 		const store = new DisposableStore();
-		const {server} = await leaveUnread(store, {stallMilliseconds: 100, handOverMilliseconds: 300});
+		const {server} = await startUnreadAnswer(store, {stallMilliseconds: 100, handOverMilliseconds: 300});
 		const unfinished = server.unfinishedAnswers;
 		while (server.unfinishedAnswers > 0) {
 			await delay(10);
@@ -82,7 +82,7 @@
 	// Guards a slow reader of a whole answer against the time-out that is meant for answers still coming in.
 	it('outlasts the time after which one that still comes in is given up', async () => {
 		const store = new DisposableStore();
-		const {caller} = await leaveUnread(store, {stallMilliseconds: 100, handOverMilliseconds: 20_000});
+		const {caller} = await startUnreadAnswer(store, {stallMilliseconds: 100, handOverMilliseconds: 20_000});
 		await delay(800);
 		let received = 0;
 		caller.on('data', (chunk: Buffer) => {
--- a/src/node/front/answer-reader.test.ts
+++ b/src/node/front/answer-reader.test.ts
@@ -63,7 +63,7 @@
 }
 
 /** The answer of the stand-in to a call; its last byte tells that it is whole even where no length does. */
-export function answerTo(name: string, bytes = 0): string {
+export function answerBody(name: string, bytes = 0): string {
 	return `answer to ${name}:${'a'.repeat(bytes)}.`;
 }
 
--- a/src/node/front/backend-attempt.ts
+++ b/src/node/front/backend-attempt.ts
@@ -1,4 +1,4 @@
-/** One attempt to run a call on a backend server, as an undici dispatch handler. */
+/** One attempt to run a call on a backend server, implemented as an undici dispatch handler. */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type Readable} from 'node:stream';
 import {type Dispatcher, errors} from 'undici';
@@ -6,31 +6,32 @@
 import {type Milliseconds} from '../../common/model/units.ts';
 import {type AttemptListener} from './types.ts';
 
-/** An unwanted answer up to this size is read to its end, so that its connection stays usable. */
-const discardLimitBytes = 65_536;
+/** The answer of a cancelled attempt is read to its end up to this size, so that the connection can be reused. */
+const maxDiscardedBytes = 65_536;
 
 /**
- * Guards against a decision as old as a pause: a VM that was stopped while a connection was being opened would go
- * on to send the call to a backend server that began to leave meanwhile. Opening takes half of this at most.
+ * Maximum time between the engine's decision to start an attempt and the first byte on the wire. A VM that was suspended while
+ * it opened a connection would otherwise send the call to a backend server that began to shut down in the meantime. Opening a
+ * connection takes at most half of this time.
  */
-const usualLatestStartMilliseconds: Milliseconds = 3000;
+const defaultStartTimeoutMilliseconds: Milliseconds = 3000;
 
-/** Why a controller was aborted by this side. */
+/** Reason passed to undici if this side aborts an attempt. */
 class AttemptCancelled extends Error {
 	override readonly name = 'AttemptCancelled';
 }
 
 /**
- * Whether the connection is kept after the answer. Guards the process against an assertion in undici: an answer that ends
- * with its connection must not be paused when that ends, or the whole VM dies. Such an answer is taken in as it comes, at
- * the price of memory for what its caller has not taken yet; its size is bounded by what backend servers send.
+ * True if the connection stays open after the answer. Otherwise the answer must not be paused: undici fails an assertion if the
+ * connection closes while the answer is paused, and that terminates the whole process. Such an answer is read as it arrives
+ * and buffered in memory for its caller; only the size of the backend server's answer bounds the buffer.
  */
-function outlivesAnswer({connection = '', ...headers}: IncomingHttpHeaders): boolean {
+function keepsConnectionOpen({connection = '', ...headers}: IncomingHttpHeaders): boolean {
 	const hasLength = headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 	return hasLength && !connection.toLowerCase().includes('close');
 }
 
-/** What is sent. */
+/** The request of an attempt; `headers` is a flat list of names and values. */
 export type AttemptRequest = {
 	readonly method: string;
 	readonly path: string;
@@ -39,31 +40,30 @@
 };
 
 /**
- * Tells exactly one end (`onEnd` or `onFailure`), or none after `cancel`. The proof that nothing ran
- * rests on `onRequestStart`, which undici calls right before it writes the first byte: a failure
- * before it left nothing on the wire.
+ * Calls exactly one of `onEnd` and `onFailure`, or neither after `cancel`. undici calls `onRequestStart` right before it writes
+ * the first byte, so a failure before that call proves that nothing was sent and nothing ran.
  */
 export class BackendAttempt implements Dispatcher.DispatchHandler {
 	readonly id: AttemptId;
 	private readonly _listener: AttemptListener;
-	private readonly _latestStart: number;
+	private readonly _startDeadline: number;
 	private _controller: Dispatcher.DispatchController | undefined;
 	private _isSent = false;
 	private _hasHead = false;
 	private _isEnded = false;
 	private _isDiscarding = false;
-	private _mayPause = true;
-	private _bytes = 0;
+	private _canPause = true;
+	private _receivedBytes = 0;
 
-	constructor(id: AttemptId, listener: AttemptListener, latestStartMilliseconds: Milliseconds = usualLatestStartMilliseconds) {
+	constructor(id: AttemptId, listener: AttemptListener, startTimeoutMilliseconds: Milliseconds = defaultStartTimeoutMilliseconds) {
 		this.id = id;
 		this._listener = listener;
-		this._latestStart = performance.now() + latestStartMilliseconds;
+		this._startDeadline = performance.now() + startTimeoutMilliseconds;
 	}
 
-	/** Bytes of the answer's body that came in. */
-	get bytes(): number {
-		return this._bytes;
+	/** Bytes received of the answer's body. */
+	get receivedBytes(): number {
+		return this._receivedBytes;
 	}
 
 	start(dispatcher: Dispatcher, request: AttemptRequest): void {
@@ -72,20 +72,23 @@
 			path: request.path,
 			headers: request.headers,
 			body: request.body,
-			// Keeps undici from ever sending the call a second time by itself.
+			// Prevents undici from retrying the call on its own.
 			idempotent: false,
 			blocking: true,
 		}, this);
 	}
 
-	/** Gives the attempt up. The backend server sees its connection close and can stop the work. */
+	/**
+	 * Cancels the attempt. Discards the rest of an answer whose length `answerBytes` is known and small; otherwise closes the
+	 * connection, so that the backend server can stop the work.
+	 */
 	cancel(answerBytes?: number): void {
 		if (this._isEnded) {
 			return;
 		}
 
 		this._isEnded = true;
-		if (this._hasHead && answerBytes !== undefined && answerBytes <= discardLimitBytes) {
+		if (this._hasHead && answerBytes !== undefined && answerBytes <= maxDiscardedBytes) {
 			this._isDiscarding = true;
 			this._controller?.resume();
 			return;
@@ -95,7 +98,7 @@
 	}
 
 	pause(): void {
-		if (this._mayPause) {
+		if (this._canPause) {
 			this._controller?.pause();
 		}
 	}
@@ -105,14 +108,14 @@
 	}
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
-		// Guards at-most-once against a resend inside the library: undici calls this a second time if it
-		// takes a call up again after a lost connection. It must not reach the wire.
+		// undici calls this a second time if it retries a call after a lost connection. The retry must not reach the wire,
+		// because a call may run at most once.
 		if (this._isEnded || this._isSent) {
 			controller.abort(new AttemptCancelled());
 			return;
 		}
 
-		if (performance.now() > this._latestStart) {
+		if (performance.now() > this._startDeadline) {
 			this._isEnded = true;
 			controller.abort(new AttemptCancelled());
 			this._listener.onFailure(this, 'not-sent');
@@ -130,14 +133,14 @@
 		}
 
 		this._hasHead = true;
-		this._mayPause = outlivesAnswer(headers);
+		this._canPause = keepsConnectionOpen(headers);
 		this._listener.onHead(this, {status, headers});
 	}
 
 	onResponseData(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
-		this._bytes += chunk.length;
+		this._receivedBytes += chunk.length;
 		if (this._isDiscarding) {
-			if (this._bytes > discardLimitBytes) {
+			if (this._receivedBytes > maxDiscardedBytes) {
 				controller.abort(new AttemptCancelled());
 			}
 
--- a/src/node/front/backend-connections.ts
+++ b/src/node/front/backend-connections.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to backend servers. The number of connections follows the calls in flight, which the
- * call engine bounds; idle ones close after `idleMilliseconds`.
+ * Connection pools for backend servers. The pools have no limit of their own: the call engine limits the calls in flight,
+ * and each call uses one connection. Idle connections close after `idleMilliseconds`.
  */
 import {buildConnector, Client, Pool} from 'undici';
 import {type BackendServerIdentity, type CallEffect} from '../../common/calls/types.ts';
@@ -12,35 +12,34 @@
 /** Connections to one process of a backend server. */
 type ProcessPool = {readonly pool: Pool; readonly origin: string; readonly processStartedAt: number | undefined};
 
-/** Settings of connections to backend servers. */
 export type ConnectionSettings = {
 	readonly connectMilliseconds: Milliseconds;
 	readonly idleMilliseconds: Milliseconds;
-	/** Longest time without a byte of an answer that has begun. */
+	/** Timeout between two chunks of an answer's body. */
 	readonly silenceMilliseconds?: Milliseconds;
 };
 
 /**
- * Guards callers against a connection that goes silent in the middle of an answer: no deadline ends an answer
- * that has begun, so its caller would wait without end. Time in which the caller itself reads slowly does not
- * count. Ten seconds leave room for a backend server that pauses; what breaks off may be resumed elsewhere.
+ * Default for `silenceMilliseconds`. No deadline applies once an answer has begun, so without this timeout a caller would wait
+ * forever on a connection that went silent in the middle of an answer. Time during which the answer is paused for a slow caller
+ * does not count. Ten seconds tolerate a pause of the backend server; an answer that breaks off may be resumed on another one.
  */
-const usualSilenceMilliseconds: Milliseconds = 10_000;
+const defaultSilenceMilliseconds: Milliseconds = 10_000;
 
-/** Base URL of an address; IPv6 numbers stand in brackets. */
-export function originOf(address: string, port: number): string {
+/** Returns the base URL for an address and port; IPv6 addresses are enclosed in brackets. */
+export function originUrl(address: string, port: number): string {
 	return address.includes(':') ? `http://[${address}]:${port}` : `http://${address}:${port}`;
 }
 
-/** Code of a reset that the library must not take for an end; see `resetAware`. */
+/** Error code that replaces `ECONNRESET`; see `withDistinctResetCode`. */
 const resetCode = 'JAYDALE_CONNECTION_RESET';
 
 /**
- * Guards against half an answer that looks whole. An answer without a length ends with its connection, and undici
- * takes a reset of that connection for its end too: a backend server that crashes in the middle would hand its caller a
- * short body as a complete one. Under another code undici treats the reset as the failure that it is.
+ * Wraps a connector so that undici reports a reset in the middle of a close-delimited answer as a failure. undici treats
+ * `ECONNRESET` as the regular end of such an answer, so a truncated body of a crashed backend server would look complete. It
+ * treats any other error code as a failure.
  */
-function resetAware(connect: buildConnector.connector): buildConnector.connector {
+function withDistinctResetCode(connect: buildConnector.connector): buildConnector.connector {
 	return (options, callback) => {
 		connect(options, (...result) => {
 			const [, socket] = result;
@@ -54,7 +53,7 @@
 	};
 }
 
-/** One pool for each backend server. */
+/** One connection pool for each backend server. */
 export class BackendConnections extends Disposable {
 	private readonly _pools = new Map<BackendServerIdentity, ProcessPool>();
 	private readonly _settings: ConnectionSettings;
@@ -63,7 +62,7 @@
 	constructor(settings: ConnectionSettings) {
 		super();
 		this._settings = settings;
-		this._connect = resetAware(buildConnector({timeout: settings.connectMilliseconds}));
+		this._connect = withDistinctResetCode(buildConnector({timeout: settings.connectMilliseconds}));
 		this._register(toDisposable(() => {
 			for (const {pool} of this._pools.values()) {
 				void pool.destroy();
@@ -74,28 +73,29 @@
 	}
 
 	/**
-	 * The shared pool of a backend server's process. Guards calls against connections to a process that another one has
-	 * replaced under its identity: they may be silent for good, or lead to an address that is no longer its own.
+	 * Returns the shared pool of a backend server's process. Closes the previous pool if the address or the process has changed
+	 * under the same identity: connections to the previous process may stay silent forever, or lead to an address that now
+	 * belongs to another backend server.
 	 */
 	pool({identity, address, port, processStartedAt}: Target): Pool {
-		const origin = originOf(address, port);
-		const known = this._pools.get(identity);
-		if (known?.origin === origin && known.processStartedAt === processStartedAt) {
-			return known.pool;
+		const origin = originUrl(address, port);
+		const existing = this._pools.get(identity);
+		if (existing?.origin === origin && existing.processStartedAt === processStartedAt) {
+			return existing.pool;
 		}
 
-		void known?.pool.close();
+		void existing?.pool.close();
 		const pool = new Pool(origin, this._options());
 		this._pools.set(identity, {pool, origin, processStartedAt});
 		return pool;
 	}
 
-	/** A connection of its own, used for one attempt and then closed. */
-	fresh(target: Target): Client {
-		return new Client(originOf(target.address, target.port), this._options());
+	/** Returns a client with a new connection for a single attempt; the caller closes it. */
+	createDedicatedClient(target: Target): Client {
+		return new Client(originUrl(target.address, target.port), this._options());
 	}
 
-	/** Ends the pools of backend servers that are no longer declared, after their calls in flight. */
+	/** Closes the pools of all other backend servers once their calls in flight have completed. */
 	retain(identities: ReadonlySet<BackendServerIdentity>): void {
 		for (const [identity, {pool}] of this._pools) {
 			if (!identities.has(identity)) {
@@ -107,16 +107,16 @@
 
 	private _options(): Client.Options {
 		return {
-			// One call a connection: a pipelined call behind a slow one would wait unseen, and undici
-			// would send it again by itself after a reset.
+			// No pipelining: a call queued behind a slow one would wait without the call engine's knowledge, and undici would
+			// resend it on its own after a reset.
 			pipelining: 1,
 			allowH2: false,
 			connect: this._connect,
 			keepAliveTimeout: this._settings.idleMilliseconds,
 			keepAliveMaxTimeout: this._settings.idleMilliseconds,
-			// Deadlines belong to the call engine; these only bound what it cannot see.
+			// The call engine enforces deadlines; only silence within an answer's body is invisible to it.
 			headersTimeout: 0,
-			bodyTimeout: this._settings.silenceMilliseconds ?? usualSilenceMilliseconds,
+			bodyTimeout: this._settings.silenceMilliseconds ?? defaultSilenceMilliseconds,
 		};
 	}
 }
--- a/src/node/front/call-carrier.ts
+++ b/src/node/front/call-carrier.ts
@@ -1,4 +1,4 @@
-/** Carries out what the call engine decides, on sockets. */
+/** Executes the effects that the call engine returns. */
 import {
 	type CallEffect, type CallEvent, type CallId, type CallSummary,
 } from '../../common/calls/types.ts';
@@ -8,74 +8,74 @@
 import {type LiveCall} from './live-call.ts';
 import {type CallEventSink} from './types.ts';
 
-/** Carries out a measuring call; the answer comes back as a `measured` event. */
+/** Sends a load probe; the result is fed to the sink as a `measured` event. */
 export type Measurer = {
 	measure(effect: CallEffect & {type: 'measure'}, sink: CallEventSink): void;
 };
 
-/** Claims idempotency keys; the answer comes back as a `key-claimed` event. */
+/** Claims idempotency keys; the result is fed to the sink as a `key-claimed` event. */
 export type KeyClaimer = {
 	claim(effect: CallEffect & {type: 'claim-key'}, sink: CallEventSink): void;
 	release(effect: CallEffect & {type: 'release-key'}): Promise<void>;
 };
 
-/** A call that has ended, with the identifier of its log lines. */
+/** Summary of a completed call, and the trace identifier for its log line. */
 export type EndedCall = {readonly summary: CallSummary; readonly traceId: string | undefined};
 
-/** A backend server names another rate limit than before, or none. */
+/** A backend server announced a new rate limit, or removed its rate limit. */
 export type RateLimitChanged = CallEffect & {type: 'rate-limit-changed'};
 
-/** Calls of this VM and what is done for them. */
+/** Holds the active calls of this VM and dispatches each effect to its call, the load prober or the key claimer. */
 export class CallCarrier extends Disposable {
 	private readonly _sink: CallEventSink;
-	private readonly _measurer: Measurer;
+	private readonly _loadProber: Measurer;
 	private readonly _keyClaimer: KeyClaimer;
 	private readonly _calls = new Map<CallId, LiveCall>();
-	private readonly _callOfAttempt = new Map<number, CallId>();
+	private readonly _callIdByAttemptId = new Map<number, CallId>();
 	private readonly _onCallEnded = this._register(new Emitter<EndedCall>());
 
 	private readonly _onRateLimitChanged = this._register(new Emitter<RateLimitChanged>());
 
-	/** One call has ended. */
+	/** Fires once for each call, when it has completed. */
 	readonly onCallEnded = this._onCallEnded.event;
-	/** A backend server names another rate limit than before, or none. */
+	/** Fires if a backend server announces a new rate limit or removes its rate limit. */
 	readonly onRateLimitChanged = this._onRateLimitChanged.event;
 
-	constructor(sink: CallEventSink, measurer: Measurer, keyClaimer: KeyClaimer) {
+	constructor(sink: CallEventSink, loadProber: Measurer, keyClaimer: KeyClaimer) {
 		super();
 		this._sink = sink;
-		this._measurer = measurer;
+		this._loadProber = loadProber;
 		this._keyClaimer = keyClaimer;
 	}
 
-	/** Takes a call in and lets the engine decide on it. */
+	/** Registers a call and submits its arrival to the engine. */
 	admit(call: LiveCall, event: CallEvent & {type: 'call-arrived'}): void {
 		this._calls.set(call.callId, call);
 		this._sink.feed(event);
 	}
 
-	/** Carries out one effect of the call engine. */
+	/** Executes one effect of the call engine. */
 	carryOut(effect: OuterCallEffect): void {
 		switch (effect.type) {
 			case 'start-attempt': {
-				this._callOfAttempt.set(effect.attemptId, effect.callId);
+				this._callIdByAttemptId.set(effect.attemptId, effect.callId);
 				this._calls.get(effect.callId)?.startAttempt(effect);
 				break;
 			}
 
 			case 'cancel-attempt': {
-				this._callOf(effect.attemptId)?.cancelAttempt(effect.attemptId);
-				this._callOfAttempt.delete(effect.attemptId);
+				this._findCall(effect.attemptId)?.cancelAttempt(effect.attemptId);
+				this._callIdByAttemptId.delete(effect.attemptId);
 				break;
 			}
 
 			case 'pass-on': {
-				this._calls.get(effect.callId)?.passOn(effect.attemptId, effect.outcome);
+				this._calls.get(effect.callId)?.forwardAnswer(effect.attemptId, effect.outcome);
 				break;
 			}
 
 			case 'break-off': {
-				this._calls.get(effect.callId)?.breakOff();
+				this._calls.get(effect.callId)?.abortAnswer();
 				break;
 			}
 
@@ -86,21 +86,21 @@
 
 			case 'call-ended': {
 				this._onCallEnded.fire({summary: effect.summary, traceId: this._calls.get(effect.callId)?.traceId});
-				this._end(effect.callId);
+				this._removeCall(effect.callId);
 				break;
 			}
 
 			default: {
-				this._carryOutBeside(effect);
+				this._executeOther(effect);
 			}
 		}
 	}
 
-	/** Effects that go to the world beside calls. */
-	private _carryOutBeside(effect: OuterCallEffect & {type: 'measure' | 'claim-key' | 'release-key' | 'rate-limit-changed'}): void {
+	/** Executes effects that do not concern the connections of a call. */
+	private _executeOther(effect: OuterCallEffect & {type: 'measure' | 'claim-key' | 'release-key' | 'rate-limit-changed'}): void {
 		switch (effect.type) {
 			case 'measure': {
-				this._measurer.measure(effect, this._sink);
+				this._loadProber.measure(effect, this._sink);
 				break;
 			}
 
@@ -121,16 +121,16 @@
 		}
 	}
 
-	private _callOf(attemptId: number): LiveCall | undefined {
-		const callId = this._callOfAttempt.get(attemptId);
+	private _findCall(attemptId: number): LiveCall | undefined {
+		const callId = this._callIdByAttemptId.get(attemptId);
 		return callId === undefined ? undefined : this._calls.get(callId);
 	}
 
-	private _end(callId: CallId): void {
+	private _removeCall(callId: CallId): void {
 		const call = this._calls.get(callId);
 		this._calls.delete(callId);
 		for (const attemptId of call?.startedAttempts ?? []) {
-			this._callOfAttempt.delete(attemptId);
+			this._callIdByAttemptId.delete(attemptId);
 		}
 	}
 }
--- a/src/node/front/caller-server.test.ts
+++ b/src/node/front/caller-server.test.ts
@@ -4,9 +4,9 @@
 import {request} from 'undici';
 import {DisposableStore, toDisposable} from '../../common/lifecycle/disposable.ts';
 import {BackendServerStandIn} from '../../stand-ins/backend-server/backend-server-stand-in.ts';
-import {startBackend, startFront, startRaw} from './test-utilities.test.ts';
+import {startBackend, startFrontend, startRawServer} from './test-utilities.test.ts';
 
-async function ask(url: string, options: Parameters<typeof request>[1] = {}) {
+async function sendRequest(url: string, options: Parameters<typeof request>[1] = {}) {
 	const answer = await request(url, options);
 	const body = await answer.body.text().then(text => text, () => 'BROKEN OFF');
 	return {
@@ -28,8 +28,8 @@
 	it('hands a whole answer on and says that the call ran', async function () {
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
-		const front = await startFront(store, [port]);
-		const answer = await ask(`${front.url}/spans/7`, {headers: {'stand-in-call-id': 'a', 'stand-in-bytes': '5', 'jaydale-outcome': 'forged'}});
+		const front = await startFrontend(store, [port]);
+		const answer = await sendRequest(`${front.url}/spans/7`, {headers: {'stand-in-call-id': 'a', 'stand-in-bytes': '5', 'jaydale-outcome': 'forged'}});
 		expect({...answer, body: answer.body.length}).toMatchSnapshot(this);
 	});
 
@@ -40,7 +40,7 @@
 	it('counts an answer until its caller has taken it', async () => {
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
-		const front = await startFront(store, [port]);
+		const front = await startFrontend(store, [port]);
 		const {body} = await request(`${front.url}/map`, {headers: {'stand-in-call-id': 'm', 'stand-in-bytes': '20000000'}});
 		expect(front.server.unfinishedAnswers).toEqual(1);
 		const bytes = await body.arrayBuffer();
@@ -57,14 +57,14 @@
 	 * then the backend server dies. Cause: an answer without a visible end. The caller must see a broken body.
 	 */
 	it('breaks a half answer off visibly', async () => {
-		const port = await startRaw(store, socket => {
+		const port = await startRawServer(store, socket => {
 			socket.once('data', () => {
 				socket.write('HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n');
 				setTimeout(() => socket.destroy(), 20);
 			});
 		});
-		const front = await startFront(store, [port]);
-		const answer = await ask(`${front.url}/map`);
+		const front = await startFrontend(store, [port]);
+		const answer = await sendRequest(`${front.url}/map`);
 		expect(answer.body).toEqual('BROKEN OFF');
 		expect(front.ended.map(summary => summary.isGood)).toEqual([false]);
 	});
@@ -82,9 +82,9 @@
 			});
 		};
 
-		const ports = [await startRaw(store, rawHandler), await startRaw(store, rawHandler)];
-		const front = await startFront(store, ports);
-		const answer = await ask(`${front.url}/dues`, {method: 'POST', body: 'pay'});
+		const ports = [await startRawServer(store, rawHandler), await startRawServer(store, rawHandler)];
+		const front = await startFrontend(store, ports);
+		const answer = await sendRequest(`${front.url}/dues`, {method: 'POST', body: 'pay'});
 		expect(received).toEqual(1);
 		expect({status: answer.status, outcome: answer.outcome}).toEqual({status: 502, outcome: 'unknown'});
 	});
@@ -108,7 +108,7 @@
 	 * with the attempt. The caller must be told that the outcome is unknown.
 	 */
 	it('gives the final answer when a large upload is cut off below', async () => {
-		const port = await startRaw(store, socket => {
+		const port = await startRawServer(store, socket => {
 			let bytes = 0;
 			socket.on('data', chunk => {
 				bytes += chunk.length;
@@ -117,8 +117,8 @@
 				}
 			});
 		});
-		const front = await startFront(store, [port], {bodyBytes: 100_000_000});
-		const answer = await ask(`${front.url}/report`, {method: 'POST', body: Buffer.alloc(50_000_000)});
+		const front = await startFrontend(store, [port], {bodyBytes: 100_000_000});
+		const answer = await sendRequest(`${front.url}/report`, {method: 'POST', body: Buffer.alloc(50_000_000)});
 		expect({status: answer.status, outcome: answer.outcome}).toEqual({status: 502, outcome: 'unknown'});
 	});
 
@@ -127,11 +127,11 @@
 	 * limit is passed, the attempt is given up. Cause: ending the caller's connection with it. The caller must be told.
 	 */
 	it('gives the final answer when a body without a length passes the limit', async () => {
-		const port = await startRaw(store, socket => {
+		const port = await startRawServer(store, socket => {
 			socket.resume();
 		});
-		const front = await startFront(store, [port]);
-		const answer = await ask(`${front.url}/report`, {method: 'POST', body: Readable.from(Array.from({length: 40}, () => Buffer.alloc(20_000)))});
+		const front = await startFrontend(store, [port]);
+		const answer = await sendRequest(`${front.url}/report`, {method: 'POST', body: Readable.from(Array.from({length: 40}, () => Buffer.alloc(20_000)))});
 		expect({status: answer.status, outcome: answer.outcome}).toEqual({status: 502, outcome: 'unknown'});
 	});
 
@@ -142,7 +142,7 @@
 	it('gives a download up whose caller takes no byte any more', async () => {
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
-		const front = await startFront(store, [port]);
+		const front = await startFrontend(store, [port]);
 		const {port: frontPort} = new URL(front.url);
 		const socket = connect(Number(frontPort), '127.0.0.1');
 		store.add(toDisposable(() => socket.destroy()));
@@ -162,16 +162,16 @@
 	 * connection, so nothing ran. Cause: giving up on a failure that proves it is safe to go elsewhere.
 	 */
 	it('sends a call elsewhere, body and all, when the connection was refused', async () => {
-		const closedPort = await startRaw(store, () => undefined);
+		const closedPort = await startRawServer(store, () => undefined);
 		store.dispose();
 		store = new DisposableStore();
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
-		const front = await startFront(store, [closedPort, port]);
+		const front = await startFrontend(store, [closedPort, port]);
 		const answers = [];
 		for (let index = 0; index < 6; index += 1) {
 			const headers = {'stand-in-call-id': `r${index}`, 'stand-in-bytes': '5'};
-			answers.push(await ask(`${front.url}/register`, {method: 'POST', body: 'x'.repeat(1000), headers}));
+			answers.push(await sendRequest(`${front.url}/register`, {method: 'POST', body: 'x'.repeat(1000), headers}));
 		}
 
 		expect(answers.map(answer => answer.status)).toEqual([200, 200, 200, 200, 200, 200]);
@@ -185,14 +185,14 @@
 	it('refuses bad input and runs nothing', async function () {
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
-		const front = await startFront(store, [port]);
+		const front = await startFrontend(store, [port]);
 		const twoLengths = await rawExchange(front.url, 'POST /services/orders/x HTTP/1.1\r\nhost: a\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n');
 		expect({
 			twoLengths: twoLengths.split('\r\n')[0],
-			timeout: await ask(`${front.url}/x`, {headers: {'jaydale-timeout-milliseconds': 'soon'}}),
-			key: await ask(`${front.url}/x`, {method: 'POST', headers: {'idempotency-key': 'k'.repeat(300)}}),
-			large: await ask(`${front.url}/x`, {method: 'POST', body: Buffer.alloc(300_000)}),
-			service: await ask(front.url.replace('orders', 'nothing') + '/x'),
+			timeout: await sendRequest(`${front.url}/x`, {headers: {'jaydale-timeout-milliseconds': 'soon'}}),
+			key: await sendRequest(`${front.url}/x`, {method: 'POST', headers: {'idempotency-key': 'k'.repeat(300)}}),
+			large: await sendRequest(`${front.url}/x`, {method: 'POST', body: Buffer.alloc(300_000)}),
+			service: await sendRequest(front.url.replace('orders', 'nothing') + '/x'),
 			ran: backend.calls().length,
 		}).toMatchSnapshot(this);
 	});
@@ -212,8 +212,8 @@
 		});
 	};
 
-	const front = await startFront(store, [await startRaw(store, answer), await startRaw(store, answer)]);
-	const {body} = await ask(`${front.url}/footage`);
+	const front = await startFrontend(store, [await startRawServer(store, answer), await startRawServer(store, answer)]);
+	const {body} = await sendRequest(`${front.url}/footage`);
 	return body;
 }
 
--- a/src/node/front/caller-server.ts
+++ b/src/node/front/caller-server.ts
@@ -1,4 +1,4 @@
-/** The callers' listener: calls to services, and the answer to which VMs to use. */
+/** The callers' listener: calls to services, and the endpoint that lists the VMs to use. */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {getRequestListener, type HttpBindings} from '@hono/node-server';
 import {RESPONSE_ALREADY_SENT} from '@hono/node-server/utils/response';
@@ -22,77 +22,77 @@
 import {type BodyLimits, RequestBody} from './request-body.ts';
 import {type CallEventSink} from './types.ts';
 
-/** An answer to "which VMs shall I use for this service". */
+/** The VMs that callers of a service should use, with weights relative to each other. */
 export type AddressAnswer = {
 	readonly vms: ReadonlyArray<{readonly address: string; readonly port: number; readonly weight: number}>;
+	/** Time for which a caller may cache the list. */
 	readonly keepForMilliseconds: Milliseconds;
 };
 
-/** What the listener needs of the rest. */
-export type CallerServerParts = {
+/** Dependencies of the listener. */
+export type CallerServerDependencies = {
 	readonly sink: CallEventSink;
 	readonly calls: CallCarrier;
 	readonly connections: BackendConnections;
 	readonly addresses: (service: string) => AddressAnswer | undefined;
-	/** 64-bit digest of a call's method, path and body start. */
+	/** Returns a 64-bit digest of a call's method, path and buffered start of the body. */
 	readonly fingerprint: (method: string, path: string, body: Uint8Array) => string;
 };
 
-/** Limits of the listener; each keeps one caller from holding what others need. */
+/** Limits of the listener; each prevents a single caller from exhausting a shared resource. */
 export type CallerServerLimits = BodyLimits & {
-	/** Most open connections; one more is closed at once. */
+	/** Maximum number of open connections; any further one is closed at once. */
 	readonly connections: number;
-	/** Largest head in bytes: a larger one is answered with 431. */
+	/** Maximum size of a request head in bytes; a larger one is answered with 431. */
 	readonly headBytes: number;
-	/** Time for a whole head to come in: a caller that sends byte by byte holds a connection no longer. */
+	/** Timeout for receiving the complete request head, so that a caller that sends it byte by byte cannot hold a connection. */
 	readonly headMilliseconds: Milliseconds;
-	/** A caller that takes no byte of its answer for this long is taken for gone. */
+	/** Time without progress on a blocked write after which a caller's connection is closed. */
 	readonly stallMilliseconds: Milliseconds;
-	/** The same for an answer that is in whole; a minute unless said otherwise. */
-	readonly handOverMilliseconds?: Milliseconds;
-	/** How long an idle connection of a caller is kept. */
+	/** The same timeout once the backend server's answer has been received completely; the default is one minute. */
+	readonly completeAnswerStallMilliseconds?: Milliseconds;
+	/** Keep-alive timeout of an idle connection. */
 	readonly idleMilliseconds: Milliseconds;
 };
 
-/** When to come back after a stopping VM has sent a caller away: at once, to another one. */
-const stoppingRetry: Milliseconds = 20;
+/** Retry delay for callers that a stopping VM has refused: almost immediate, since they retry on another VM. */
+const stoppingRetryMilliseconds: Milliseconds = 20;
 
-const largestTimeout = 86_400_000;
-const largestCallerName = 128;
-const largestKey = 255;
+const maxTimeoutMilliseconds = 86_400_000;
+const maxCallerNameLength = 128;
+const maxIdempotencyKeyLength = 255;
 
-function single(value: string | string[] | undefined): string | undefined {
+function singleValue(value: string | string[] | undefined): string | undefined {
 	return typeof value === 'string' ? value : undefined;
 }
 
-/** A whole number of milliseconds, or undefined; `false` if it is there and cannot be read. */
+/** Parses a whole number of milliseconds; undefined if the text is missing, `false` if it is invalid. */
 function parseTimeout(text: string | undefined): number | undefined | false {
 	if (text === undefined) {
 		return undefined;
 	}
 
 	const value = Number(text);
-	return /^\d{1,8}$/v.test(text) && value > 0 && value <= largestTimeout ? value : false;
+	return /^\d{1,8}$/v.test(text) && value > 0 && value <= maxTimeoutMilliseconds ? value : false;
 }
 
-/** Serves callers on one port. */
 export class CallerServer extends Disposable {
-	private readonly _parts: CallerServerParts;
+	private readonly _dependencies: CallerServerDependencies;
 	private readonly _limits: CallerServerLimits;
 	private readonly _dialect = new JaydaleDialect();
 	private readonly _server: GracefulServer;
-	private readonly _incomplete = new IncompleteCalls();
+	private readonly _incompleteCalls = new IncompleteCalls();
 	private _lastCallId = 0;
 
-	/** An answer's connection was closed before the system had all of the answer. */
+	/** Fires if a connection is closed before the kernel has accepted all bytes of an answer. */
 	readonly onAnswerCut: Event<CutAnswer>;
 
-	constructor(parts: CallerServerParts, limits: CallerServerLimits) {
+	constructor(dependencies: CallerServerDependencies, limits: CallerServerLimits) {
 		super();
-		this._parts = parts;
+		this._dependencies = dependencies;
 		this._limits = limits;
-		// The call path reads the body itself; the adaptor must not drain or cut it.
-		const listener = getRequestListener(this._application().fetch, {autoCleanupIncoming: false, overrideGlobalObjects: false});
+		// The handler of calls reads the body itself, so the adaptor must neither drain nor abort it.
+		const listener = getRequestListener(this._createApplication().fetch, {autoCleanupIncoming: false, overrideGlobalObjects: false});
 		this._server = this._register(new GracefulServer({
 			maxHeaderSize: limits.headBytes,
 			headersTimeout: limits.headMilliseconds,
@@ -106,7 +106,7 @@
 		this.onAnswerCut = this._server.onCut;
 	}
 
-	/** Starts to listen; resolves with the port. */
+	/** Starts listening; resolves with the bound port. */
 	async listen(port: number, address: string): Promise<Result<number, Failure<'cannot-listen'>>> {
 		return new Promise(resolve => {
 			const onError = (error: Error) => {
@@ -123,14 +123,14 @@
 	}
 
 	/**
-	 * Answers not wholly handed to the operating system yet. A call has ended once its last bytes came from
-	 * the backend server; a slow caller may still have to take them.
+	 * Number of answers that the kernel has not completely accepted, plus connections that are closing. Larger than the number
+	 * of calls in flight: a call completes with the last byte from the backend server, before a slow caller has read it.
 	 */
 	get unfinishedAnswers(): number {
 		return this._server.unfinishedAnswers;
 	}
 
-	/** Number of open connections of callers. */
+	/** Resolves with the number of open caller connections. */
 	async countConnections(): Promise<number> {
 		return new Promise(resolve => {
 			this._server.getConnections((_error, count) => {
@@ -139,27 +139,27 @@
 		});
 	}
 
-	/** From now on idle connections end, and others after their current answer. Nothing is cut. */
+	/** Closes idle connections now, and each other one after its current answer. Cuts no answer. */
 	closeIdle(): void {
-		this._server.leave();
+		this._server.disableKeepAlive();
 		this._server.closeIdleConnections();
 	}
 
 	/**
-	 * Takes no new connections; those open go on until their answers are out, however long that takes. Calls whose bodies are
-	 * not whole are refused.
+	 * Stops accepting connections. Open connections continue until their answers are complete, without a time limit. Calls whose
+	 * bodies are still incomplete are refused.
 	 */
 	stopListening(): void {
-		this._incomplete.refuseAll();
+		this._incompleteCalls.refuseAll();
 		this.closeIdle();
 		this._server.close();
 	}
 
-	private _application(): Hono<{Bindings: HttpBindings}> {
+	private _createApplication(): Hono<{Bindings: HttpBindings}> {
 		const application = new Hono<{Bindings: HttpBindings}>();
 		application.get(addressesPath, context => {
 			const service = context.req.query('service') ?? '';
-			const answer = this._parts.addresses(service);
+			const answer = this._dependencies.addresses(service);
 			return answer === undefined
 				? context.json({
 					type: `${problemTypePrefix}unknown-service`, title: 'unknown service', status: 404, service,
@@ -167,41 +167,41 @@
 				: context.json(answer);
 		});
 		application.all(`${callPathPrefix}:service/*`, context => {
-			this._accept(context.env.incoming, context.env.outgoing);
+			this._handleCall(context.env.incoming, context.env.outgoing);
 			return RESPONSE_ALREADY_SENT;
 		});
 		return application;
 	}
 
-	private _accept(incoming: IncomingMessage, outgoing: ServerResponse): void {
+	private _handleCall(incoming: IncomingMessage, outgoing: ServerResponse): void {
 		const url = incoming.url!;
 		const slash = url.indexOf('/', callPathPrefix.length);
 		const service = url.slice(callPathPrefix.length, slash);
 		const path = url.slice(slash);
-		const timeoutMilliseconds = parseTimeout(single(incoming.headers[timeoutHeader]));
+		const timeoutMilliseconds = parseTimeout(singleValue(incoming.headers[timeoutHeader]));
 		if (timeoutMilliseconds === false) {
-			this._refuseField(outgoing, 400, timeoutHeader);
+			this._refuseInvalidField(outgoing, 400, timeoutHeader);
 			return;
 		}
 
-		const key = single(incoming.headers[idempotencyKeyHeader]);
-		if (key !== undefined && (key.length === 0 || key.length > largestKey)) {
-			this._refuseField(outgoing, 400, idempotencyKeyHeader);
+		const key = singleValue(incoming.headers[idempotencyKeyHeader]);
+		if (key !== undefined && (key.length === 0 || key.length > maxIdempotencyKeyLength)) {
+			this._refuseInvalidField(outgoing, 400, idempotencyKeyHeader);
 			return;
 		}
 
 		const body = new RequestBody(incoming, this._limits);
 		if (body.isTooLarge) {
 			outgoing.setHeader('connection', 'close');
-			this._refuseField(outgoing, 413, 'content-length');
+			this._refuseInvalidField(outgoing, 413, 'content-length');
 			return;
 		}
 
-		if (body.isExpected) {
-			this._incomplete.add(outgoing, () => {
+		if (body.isAnnounced) {
+			this._incompleteCalls.add(outgoing, () => {
 				incoming.resume();
 				const {headers, body: text} = this._dialect.refusal({
-					status: 503, reason: 'stopping', outcome: 'not-run', retryAfterMilliseconds: stoppingRetry,
+					status: 503, reason: 'stopping', outcome: 'not-run', retryAfterMilliseconds: stoppingRetryMilliseconds,
 				});
 				outgoing.writeHead(503, {...headers, 'content-length': Buffer.byteLength(text)});
 				outgoing.end(text);
@@ -209,7 +209,7 @@
 		}
 
 		body.read(() => {
-			this._incomplete.remove(outgoing);
+			this._incompleteCalls.remove(outgoing);
 			if (outgoing.writableEnded) {
 				body.discard();
 				return;
@@ -219,26 +219,26 @@
 			const request: CallRequest = {
 				callId: this._lastCallId,
 				service,
-				caller: single(incoming.headers[callerHeader])?.slice(0, largestCallerName) ?? incoming.socket.remoteAddress ?? '',
+				caller: singleValue(incoming.headers[callerHeader])?.slice(0, maxCallerNameLength) ?? incoming.socket.remoteAddress ?? '',
 				method: incoming.method!,
 				path,
-				fingerprint: this._parts.fingerprint(incoming.method!, url, body.kept),
+				fingerprint: this._dependencies.fingerprint(incoming.method!, url, body.buffered),
 				timeoutMilliseconds,
-				bodyBytes: body.isReplayable ? body.kept.length : undefined,
+				bodyBytes: body.isReplayable ? body.buffered.length : undefined,
 				idempotencyKey: key,
 				mayRetry: incoming.headers[retryHeader] !== 'none',
 			};
-			const {traceId, traceparent} = continueTrace(single(incoming.headers[traceHeader]));
-			const {stallMilliseconds, handOverMilliseconds} = this._limits;
+			const {traceId, traceparent} = continueTrace(singleValue(incoming.headers[traceHeader]));
+			const {stallMilliseconds, completeAnswerStallMilliseconds} = this._limits;
 			const call = new LiveCall(request, {
-				incoming, outgoing, path, body, traceId, traceparent, dialect: this._dialect, stallMilliseconds, handOverMilliseconds,
-			}, this._parts.sink, this._parts.connections);
-			this._parts.calls.admit(call, {type: 'call-arrived', request});
+				incoming, outgoing, path, body, traceId, traceparent, dialect: this._dialect, stallMilliseconds, completeAnswerStallMilliseconds,
+			}, this._dependencies.sink, this._dependencies.connections);
+			this._dependencies.calls.admit(call, {type: 'call-arrived', request});
 		});
 	}
 
-	/** Bad input from a caller: the field is named, and nothing ran. */
-	private _refuseField(outgoing: ServerResponse, status: number, field: string): void {
+	/** Refuses invalid input. The answer names the invalid field and states that nothing ran. */
+	private _refuseInvalidField(outgoing: ServerResponse, status: number, field: string): void {
 		const body = JSON.stringify({
 			type: `${problemTypePrefix}invalid-field`, title: 'invalid field', status, field, outcome: 'not-run',
 		});
--- a/src/node/front/close-listener.ts
+++ b/src/node/front/close-listener.ts
@@ -1,18 +1,18 @@
-/** The end of a listener whose answers are short: pages, and operators' requests. */
+/** Closes a listener whose answers are short, such as pages and operators' requests. */
 import {type Milliseconds} from '../../common/model/units.ts';
 import {type GracefulServer} from './graceful-server.ts';
 
 /**
- * Takes no new connections; resolves when those open have ended, each after the answer that is under way on it, or when the
- * time is over. Guards answers against the end of a process that only calls held up: what the listener still owed was
- * reset with it, and whoever had asked could not tell what had become of it.
+ * Stops accepting connections; resolves when all open connections have closed, each after its current answer, or after
+ * `maxMilliseconds`. A process that waited only for calls before it exited would reset these connections, and clients could not
+ * find out whether their requests had taken effect.
  */
-export async function closeListener(server: GracefulServer, longest: Milliseconds): Promise<void> {
-	server.leave();
+export async function closeListener(server: GracefulServer, maxMilliseconds: Milliseconds): Promise<void> {
+	server.disableKeepAlive();
 	return new Promise(resolve => {
-		const timer = setTimeout(resolve, longest);
+		const timer = setTimeout(resolve, maxMilliseconds);
 		server.close(() => {
-			// A listener that never listened has nothing under way, and its failure to close says nothing else.
+			// `close` fails only if the server was not listening, and then there are no answers in progress.
 			clearTimeout(timer);
 			resolve();
 		});
--- a/src/node/front/closing-pools.test.ts
+++ b/src/node/front/closing-pools.test.ts
@@ -3,12 +3,12 @@
 import {type Pool} from 'undici';
 import {DisposableStore} from '../../common/lifecycle/disposable.ts';
 import {BackendConnections} from './backend-connections.ts';
-import {startRaw} from './test-utilities.test.ts';
+import {startRawServer} from './test-utilities.test.ts';
 
 const answerBytes = 8_000_000;
 
 describe('connections that are given up while calls take them', () => {
-	const giveUps: ReadonlyArray<readonly [string, (connections: BackendConnections, target: {readonly identity: string; readonly address: string; readonly port: number}) => void]> = [
+	const closeReasons: ReadonlyArray<readonly [string, (connections: BackendConnections, target: {readonly identity: string; readonly address: string; readonly port: number}) => void]> = [
 		['its backend server is no longer declared', connections => {
 			connections.retain(new Set());
 		}],
@@ -16,12 +16,12 @@
 			connections.pool({...target, processStartedAt: 2});
 		}],
 	];
-	for (const [why, giveUp] of giveUps) {
-		for (const moment of [0, 100]) {
+	for (const [reason, closePool] of closeReasons) {
+		for (const delayMilliseconds of [0, 100]) {
 			// Guards calls against the close of a pool that has just taken them.
-			it(`carry what they have taken to its end: ${why}, ${moment} ms after the call`, async () => {
+			it(`carry what they have taken to its end: ${reason}, ${delayMilliseconds} ms after the call`, async () => {
 				const store = new DisposableStore();
-				const port = await startRaw(store, socket => {
+				const port = await startRawServer(store, socket => {
 					socket.on('data', () => {
 						socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${answerBytes}\r\n\r\n`);
 						setTimeout(() => {
@@ -39,8 +39,8 @@
 					const body = await answer.body.arrayBuffer();
 					return body.byteLength;
 				}));
-				await delay(moment);
-				giveUp(connections, target);
+				await delay(delayMilliseconds);
+				closePool(connections, target);
 				expect(await answers).toEqual([answerBytes, answerBytes]);
 				expect(pool.closed).toEqual(true);
 				store.dispose();
--- a/src/node/front/graceful-server.test.ts
+++ b/src/node/front/graceful-server.test.ts
@@ -4,7 +4,7 @@
 import {expect} from 'earl';
 import {DisposableStore} from '../../common/lifecycle/disposable.ts';
 import {
-	connectTo, getCall, largeBytes, openListener, postHead, readAll, statusesOf,
+	connectTo, getCall, largeBytes, startTestListener, postHead, readAll, parseStatuses,
 } from './open-listener.test.ts';
 
 describe('a listener that ends its connections', () => {
@@ -19,7 +19,7 @@
 	// Guards pipelined calls against a connection that ends with the answer before theirs.
 	it('answers a call that was sent behind another before it ends the connection', async () => {
 		const answers: ServerResponse[] = [];
-		const {server, caller, taken} = await openListener(store, (_path, outgoing) => {
+		const {server, caller, handledPaths} = await startTestListener(store, (_path, outgoing) => {
 			answers.push(outgoing);
 		});
 		caller.write(postHead('/1'));
@@ -27,10 +27,10 @@
 			await delay(1);
 		}
 
-		server.leave();
+		server.disableKeepAlive();
 		caller.write(postHead('/2'));
 		await delay(20);
-		expect(taken).toEqual(['/1']);
+		expect(handledPaths).toEqual(['/1']);
 		answers[0]!.end('first');
 		while (answers.length === 1) {
 			await delay(1);
@@ -38,30 +38,30 @@
 
 		answers[1]!.end('second');
 		const text = await readAll(caller);
-		expect([taken, statusesOf(text), text.split(/connection: close/iv).length - 1]).toEqual([['/1', '/2'], ['200', '200'], 1]);
+		expect([handledPaths, parseStatuses(text), text.split(/connection: close/iv).length - 1]).toEqual([['/1', '/2'], ['200', '200'], 1]);
 	});
 
 	it('never takes a call that comes behind the answer which ends its connection', async () => {
-		const {server, caller, taken} = await openListener(store, (_path, outgoing) => {
+		const {server, caller, handledPaths} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.writeHead(200, {'content-length': 5});
 			outgoing.write('fi');
 			setTimeout(() => outgoing.end('rst'), 50);
 		});
-		server.leave();
+		server.disableKeepAlive();
 		caller.write(postHead('/1'));
 		await once(caller, 'readable');
 		caller.write(postHead('/2'));
 		const text = await readAll(caller);
-		expect([taken, text.endsWith('first')]).toEqual([['/1'], true]);
+		expect([handledPaths, text.endsWith('first')]).toEqual([['/1'], true]);
 	});
 
 	// Guards a refusal against being discarded by a reset while its caller still sends.
 	it('lets a refusal arrive while its caller still sends', async () => {
-		const {server, caller} = await openListener(store, (_path, outgoing) => {
+		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.writeHead(503, {'content-length': 2});
 			outgoing.end('no');
 		});
-		server.leave();
+		server.disableKeepAlive();
 		caller.write(postHead('/1', largeBytes));
 		const sending = setInterval(() => caller.write(Buffer.alloc(100_000)), 1);
 		setTimeout(() => {
@@ -73,7 +73,7 @@
 	});
 
 	it('ends idle connections, and neither those with half a call in nor those with an answer to hand over', async () => {
-		const {server, caller: slow, cuts} = await openListener(store, (path, outgoing) => {
+		const {server, caller: slow, cutAnswers} = await startTestListener(store, (path, outgoing) => {
 			outgoing.end(path === '/idle' ? 'x' : Buffer.alloc(largeBytes));
 		});
 		const idle = await connectTo(store, server);
@@ -83,17 +83,17 @@
 		half.write('GET /half HTT');
 		slow.write(postHead('/slow'));
 		await delay(50);
-		server.leave();
+		server.disableKeepAlive();
 		server.closeIdleConnections();
 		await Promise.all([once(idle.resume(), 'end'), delay(50)]);
 		half.write('P/1.1\r\nhost: one.example\r\n\r\n');
 		const [slowText, halfText] = await Promise.all([readAll(slow), readAll(half)]);
-		expect([slowText.length > largeBytes, halfText.length > largeBytes, cuts]).toEqual([true, true, []]);
+		expect([slowText.length > largeBytes, halfText.length > largeBytes, cutAnswers]).toEqual([true, true, []]);
 	});
 
 	it('tells of an answer that its caller leaves, and of one that is broken off here', async () => {
 		const answers: ServerResponse[] = [];
-		const {caller, cuts, server} = await openListener(store, (_path, outgoing) => {
+		const {caller, cutAnswers, server} = await startTestListener(store, (_path, outgoing) => {
 			answers.push(outgoing);
 			outgoing.end(Buffer.alloc(largeBytes));
 		});
@@ -109,27 +109,27 @@
 		}
 
 		caller.resetAndDestroy();
-		while (cuts.length === 0) {
+		while (cutAnswers.length === 0) {
 			await delay(1);
 		}
 
 		answers[1]!.destroy();
-		while (cuts.length === 1) {
+		while (cutAnswers.length === 1) {
 			await delay(1);
 		}
 
-		expect(cuts.map(({closedBy, isWhole, bytesLeft}) => ({closedBy, isWhole, hasBytesLeft: bytesLeft > 0}))).toEqual([
+		expect(cutAnswers.map(({closedBy, isWhole, bytesLeft}) => ({closedBy, isWhole, hasBytesLeft: bytesLeft > 0}))).toEqual([
 			{closedBy: 'caller', isWhole: true, hasBytesLeft: true},
 			{closedBy: 'here', isWhole: true, hasBytesLeft: true},
 		]);
 	});
 
 	it('waits with its end for a caller that reads a refusal only when its body is out', async () => {
-		const {server, caller} = await openListener(store, (_path, outgoing) => {
+		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.writeHead(503, {'content-length': 2});
 			outgoing.end('no');
 		}, {allowHalfOpen: true});
-		server.leave();
+		server.disableKeepAlive();
 		caller.write(postHead('/1', largeBytes));
 		for (let count = 0; count < 100; count++) {
 			caller.write(Buffer.alloc(100_000));
@@ -137,14 +137,14 @@
 		}
 
 		caller.once('end', () => caller.end());
-		expect(statusesOf(await readAll(caller))).toEqual(['503']);
+		expect(parseStatuses(await readAll(caller))).toEqual(['503']);
 	});
 
 	it('counts an end that its caller has not confirmed, and gives it up in the end', async () => {
-		const {server, caller} = await openListener(store, (_path, outgoing) => {
+		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.end('x');
 		}, {allowHalfOpen: true});
-		server.leave();
+		server.disableKeepAlive();
 		caller.write(getCall('/1'));
 		await once(caller.resume(), 'end');
 		const counted = server.unfinishedAnswers;
@@ -157,14 +157,14 @@
 
 	it('ends a connection that comes to rest after idle ones have ended', async () => {
 		const answers: ServerResponse[] = [];
-		const {server, caller} = await openListener(store, (_path, outgoing) => {
+		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.writeHead(200, {'content-length': 2});
 			outgoing.write('a');
 			answers.push(outgoing);
 		});
 		caller.write(getCall('/1'));
 		await once(caller, 'readable');
-		server.leave();
+		server.disableKeepAlive();
 		server.closeIdleConnections();
 		await delay(20);
 		answers[0]!.end('b');
@@ -173,7 +173,7 @@
 	});
 
 	it('never takes a call that crosses the end of its idle connection', async () => {
-		const {server, caller, taken} = await openListener(store, (_path, outgoing) => {
+		const {server, caller, handledPaths} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.end('x');
 		}, {allowHalfOpen: true});
 		caller.write(getCall('/1'));
@@ -183,18 +183,18 @@
 		await once(caller.resume(), 'end');
 		caller.write(getCall('/2'));
 		await delay(50);
-		expect(taken).toEqual(['/1']);
+		expect(handledPaths).toEqual(['/1']);
 	});
 
 	// Guards the first call of a new connection against the end of idle connections.
 	it('leaves a connection open that waits for its first call', async () => {
-		const {server, caller} = await openListener(store, (_path, outgoing) => {
+		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.end('x');
 		});
-		server.leave();
+		server.disableKeepAlive();
 		server.closeIdleConnections();
 		await delay(50);
 		caller.write(getCall('/1'));
-		expect(statusesOf(await readAll(caller))).toEqual(['200']);
+		expect(parseStatuses(await readAll(caller))).toEqual(['200']);
 	});
 });
--- a/src/node/front/graceful-server.ts
+++ b/src/node/front/graceful-server.ts
@@ -1,4 +1,4 @@
-/** A listener of HTTP/1.1 that knows of each connection what is under way on it, and ends none that still owes bytes. */
+/** An HTTP/1.1 server that tracks the calls on each connection and never closes a connection with unsent bytes on a planned stop. */
 import {
 	type IncomingMessage, Server, type ServerOptions, type ServerResponse,
 } from 'node:http';
@@ -8,70 +8,71 @@
 import {type Milliseconds} from '../../common/model/units.ts';
 
 /**
- * How long a connection that has ended its own side goes on reading for the caller's end. A caller in another region
- * ends within a round trip; one that does not has what the system holds for it, and loses no more when it is closed.
+ * Time for which a half-closed connection keeps reading until the caller closes its side (lingering close). A caller in
+ * another region closes within a round trip. For one that does not, the kernel already holds all bytes of the answers, so a
+ * forced close loses nothing further.
  */
-const longestLinger: Milliseconds = 1000;
+const maxLingerMilliseconds: Milliseconds = 1000;
 
-/** Answers to bytes that cannot be read as a call, by node's code of the error; all others are bad requests. */
-const unreadableStatuses: Readonly<Record<string, string>> = {
+/** Statuses for requests that cannot be parsed, by Node's error code; the default is 400. */
+const parseErrorStatuses: Readonly<Record<string, string>> = {
 	HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
 	HPE_CHUNK_EXTENSIONS_OVERFLOW: '413 Payload Too Large',
 	ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
 };
 
-/** Errors that say that the caller has gone, in the middle of a call or between two. */
-const goneCodes = new Set(['ECONNRESET', 'EPIPE', 'HPE_INVALID_EOF_STATE']);
+/** Error codes which mean that the caller has disconnected, during a call or between two calls. */
+const disconnectCodes = new Set(['ECONNRESET', 'EPIPE', 'HPE_INVALID_EOF_STATE']);
 
-/** A call on a connection and its answer. */
+/** A request on a connection, and its response. */
 type Exchange = {
 	readonly incoming: IncomingMessage;
 	readonly outgoing: ServerResponse;
-	/** The system has the whole answer, or it was told that it never will. */
-	isOver: boolean;
+	/** The kernel has accepted the whole answer, or the answer was reported as cut. */
+	isSettled: boolean;
 };
 
-/** An answer whose connection was closed before the system had all of its bytes. */
+/** An answer whose connection was closed before the kernel had accepted all of its bytes. */
 export type CutAnswer = {
 	readonly incoming: IncomingMessage;
-	/** Bytes of the answer that were still in this process. */
+	/** Bytes of the answer that were still buffered in this process. */
 	readonly bytesLeft: number;
-	/** All of the answer had been written: nothing was missing but the caller's reading. */
+	/** The whole answer had been written to the response; only the transfer to the caller was incomplete. */
 	readonly isWhole: boolean;
-	/** Who closed the connection: the caller's end, or this one. */
+	/** The side that closed the connection. */
 	readonly closedBy: 'caller' | 'here';
 };
 
-/** What a listener knows of one connection. */
+/** State of one connection. */
 type Connection = {
 	readonly socket: Socket;
-	/** The call that is being answered; it is over when the system has the answer's last byte. */
+	/** The call that is being answered; undefined once the kernel has accepted the last byte of the answer. */
 	current: Exchange | undefined;
-	/** Calls that came before the answer to the one in front of them was out. */
-	readonly waiting: Exchange[];
-	/** This side has ended, or ends as soon as its last bytes are out: no further call is taken. */
-	isEnding: boolean;
-	/** What came last cannot be read: it ends after the answers under way. */
-	isUnreadable: boolean;
-	/** Bytes that had come in when the connection was last at rest; more of them are the beginning of a call. */
-	bytesAtRest: number;
-	/** Bytes that the system had not taken when the connection was closed. */
+	/** Pipelined calls: received before the previous answer was complete. */
+	readonly pipelined: Exchange[];
+	/** This side is closed, or closes after its last bytes; no further call is accepted. */
+	isClosing: boolean;
+	/** The latest input could not be parsed; the connection closes after the answers in progress. */
+	hasParseError: boolean;
+	/** `bytesRead` when the connection last became idle; a larger value now means that a call has begun to arrive. */
+	bytesReadWhenIdle: number;
+	/** Bytes that the kernel had not accepted when the connection was closed. */
 	bytesLeft: number;
 };
 
 /**
- * Runs a continuation once this thread has read what the system holds for it now. Guards a call that has just come in
- * against the end of its connection, which looks idle until the call is read: an immediate runs after the reading that
- * is under way, and one from there after the next.
+ * Runs a continuation once this thread has read all bytes that the kernel holds for it now. A connection whose next call is
+ * still unread looks idle, and closing it would lose that call. The first immediate runs after the poll phase in progress;
+ * the second one, scheduled from there, runs after the next complete poll phase.
  */
-function afterReading(continuation: () => void): void {
+function afterPendingReads(continuation: () => void): void {
 	setImmediate(() => {
 		setImmediate(continuation);
 	});
 }
 
-/** Status for a call that HTTP itself forbids to serve (RFC 9112, 3.2, and RFC 9110, 10.1.1). */
-function refusalOf({httpVersion, headers}: IncomingMessage): number | undefined {
+/** Returns the status for a request that HTTP requires a server to reject (RFC 9112, 3.2, and RFC 9110, 10.1.1). */
+function rejectionStatus({httpVersion, headers}: IncomingMessage): number | undefined {
 	if (httpVersion === '1.1' && headers.host === undefined) {
 		return 400;
 	}
@@ -80,90 +81,92 @@
 }
 
 /**
- * Guards answers against the end of their connection. A node:http server takes a connection for idle as soon as its
- * answer is written, though bytes of it wait in the process for a caller that reads slowly: closing what is idle then
- * cuts a download in the middle, with no fault but a planned stop. Here an exchange is over when the system has its last
- * byte, and only a connection without one is idle.
+ * Closes connections without truncating answers. A node:http server considers a connection idle as soon as its answer is
+ * written, even while bytes of it are still buffered in the process for a slow caller; closing idle connections on a planned
+ * stop would then truncate a download. Here an exchange ends when the kernel has accepted its last byte, and only a
+ * connection without an exchange is idle.
  *
- * Three more ways in which an end takes answers with it are closed. Calls of one connection are handed on one after the
- * other, so that the end of an earlier answer's connection leaves no later call running unanswered. A connection ends its
- * own side first and reads on, since closing one with unread bytes resets it, and a reset throws away what the system
- * holds for the caller. Bytes that are no call end a connection after its answers: node by itself closes it at once.
+ * Three other ways to lose answers at a close are prevented as well:
+ * - Calls of one connection are handled one after the other, so that closing the connection after one answer leaves no
+ *   later call running unanswered.
+ * - A connection closes its own side first and keeps reading, because closing a socket with unread bytes resets the
+ *   connection, and a reset discards the bytes that the kernel holds for the caller.
+ * - Input that cannot be parsed closes the connection after the answers in progress; node:http would close it at once.
  */
 export class GracefulServer extends Server implements DisposableLike {
 	private readonly _callerConnections = new Map<Socket, Connection>();
-	private readonly _take: (incoming: IncomingMessage, outgoing: ServerResponse) => void;
+	private readonly _handleCall: (incoming: IncomingMessage, outgoing: ServerResponse) => void;
 	private readonly _onCut = new Emitter<CutAnswer>();
-	private _isLeaving = false;
-	private _endsIdle = false;
-	private _unfinished = 0;
+	private _isKeepAliveDisabled = false;
+	private _closesIdleConnections = false;
+	private _unfinishedAnswers = 0;
 
-	/** An answer was cut. Each is somebody's loss: a caller's that has gone, or a fault of this side. */
+	/** Fires if an answer was cut, either because its caller disconnected or because this side closed the connection. */
 	readonly onCut = this._onCut.event;
 
-	/** `take` is handed each call, of one connection at a time. */
-	constructor(options: ServerOptions, take: (incoming: IncomingMessage, outgoing: ServerResponse) => void) {
-		// Node's own answer to a call without a host goes past the order of calls; it is given here.
+	/** `handleCall` is invoked for every call; for calls of the same connection, only after the previous answer is complete. */
+	constructor(options: ServerOptions, handleCall: (incoming: IncomingMessage, outgoing: ServerResponse) => void) {
+		// Node would answer a request without a host out of order with pipelined calls; `rejectionStatus` handles it instead.
 		super({...options, requireHostHeader: false});
-		this._take = take;
+		this._handleCall = handleCall;
 		this.on('connection', (socket: Socket) => {
-			this._open(socket);
+			this._trackConnection(socket);
 		});
 		this.on('request', (incoming: IncomingMessage, outgoing: ServerResponse) => {
-			this._arrive({incoming, outgoing, isOver: false});
+			this._enqueue({incoming, outgoing, isSettled: false});
 		});
 		this.on('checkExpectation', (incoming: IncomingMessage, outgoing: ServerResponse) => {
-			this._arrive({incoming, outgoing, isOver: false});
+			this._enqueue({incoming, outgoing, isSettled: false});
 		});
 		this.on('clientError', (error: NodeJS.ErrnoException, socket: Socket) => {
-			this._takeUnreadable(error, socket);
+			this._handleParseError(error, socket);
 		});
 	}
 
-	/** Answers that the system does not have wholly yet, and connections whose end the caller has not confirmed. */
+	/** Number of answers that the kernel has not completely accepted, plus connections that wait for the caller to close its side. */
 	get unfinishedAnswers(): number {
-		return this._unfinished;
+		return this._unfinishedAnswers;
 	}
 
-	/** From now on each connection ends after its answer; one that is idle stays for its next call. */
-	leave(): void {
-		this._isLeaving = true;
+	/** Closes each connection after its current answer; an idle connection stays open for one more call. */
+	disableKeepAlive(): void {
+		this._isKeepAliveDisabled = true;
 		for (const connection of this._callerConnections.values()) {
-			this._announceEnd(connection);
+			this._setCloseHeader(connection);
 		}
 	}
 
 	/**
-	 * Takes no new connections once those that have come are accepted: closing resets what the system still holds for this
-	 * thread to accept, with the calls on it. Callers that come later are refused by the system, which is proof enough.
+	 * Stops listening once pending connections are accepted, because closing the listener resets connections in the accept
+	 * queue together with the calls on them. The kernel refuses later connections, which proves to callers that nothing ran.
 	 */
 	stopListening(): void {
-		afterReading(() => {
+		afterPendingReads(() => {
 			this.close();
 		});
 	}
 
 	/**
-	 * Ends the connections on which nothing is under way, now and whenever one comes to rest. `close` does so too. One that
-	 * has carried no call yet was opened for one, which may be on its way: it stays for that.
+	 * Closes idle connections, now and whenever a connection becomes idle later. Also called by `close`. A connection without
+	 * a call so far stays open, because its first call may be in transit.
 	 */
 	override closeIdleConnections(): void {
-		this._endsIdle = true;
-		// One that is accepted meanwhile may have its first call with it, unread.
-		const known = [...this._callerConnections.values()];
-		afterReading(() => {
-			for (const connection of known) {
-				this._endIfIdle(connection);
+		this._closesIdleConnections = true;
+		// Connections that are accepted from here on are excluded: their first call may be unread.
+		const existing = [...this._callerConnections.values()];
+		afterPendingReads(() => {
+			for (const connection of existing) {
+				this._closeIfIdle(connection);
 			}
 		});
 	}
 
-	/** The process ends: closes all connections and tells of each answer that this cuts. */
-	breakOff(): void {
+	/** Destroys all connections at the end of the process, and reports each answer that is cut by it. */
+	destroyConnections(): void {
 		for (const connection of this._callerConnections.values()) {
 			connection.socket.destroy();
 			if (connection.current !== undefined) {
-				this._tellIfCut(connection, connection.current);
+				this._reportIfCut(connection, connection.current);
 			}
 		}
 	}
@@ -174,64 +177,64 @@
 		this._onCut.dispose();
 	}
 
-	private _open(socket: Socket): void {
+	private _trackConnection(socket: Socket): void {
 		const connection: Connection = {
-			socket, current: undefined, waiting: [], isEnding: false, isUnreadable: false, bytesAtRest: 0, bytesLeft: 0,
+			socket, current: undefined, pipelined: [], isClosing: false, hasParseError: false, bytesReadWhenIdle: 0, bytesLeft: 0,
 		};
 		this._callerConnections.set(socket, connection);
-		// A closed socket forgets what it still had to write.
+		// Saves `writableLength`, which a destroyed socket no longer reports.
 		const destroy = socket.destroy.bind(socket);
 		socket.destroy = error => {
 			connection.bytesLeft ||= socket.writableLength;
 			return destroy(error);
 		};
 
-		// node:http calls this after an answer that ends its connection.
+		// node:http calls this after an answer with `connection: close`.
 		socket.destroySoon = () => {
-			this._end(connection);
+			this._closeGracefully(connection);
 		};
 
 		socket.once('close', () => {
 			this._callerConnections.delete(socket);
-			if (connection.isEnding) {
-				this._unfinished--;
+			if (connection.isClosing) {
+				this._unfinishedAnswers--;
 			}
 		});
 	}
 
-	private _arrive(exchange: Exchange): void {
+	private _enqueue(exchange: Exchange): void {
 		const connection = this._callerConnections.get(exchange.incoming.socket);
-		if (connection === undefined || connection.isEnding || connection.isUnreadable) {
-			// Behind the last answer of this connection: never taken, so never run.
+		if (connection === undefined || connection.isClosing || connection.hasParseError) {
+			// This call arrived after the last one that the connection serves: it is dropped, so it never runs.
 			exchange.incoming.resume();
 			return;
 		}
 
 		if (connection.current === undefined) {
-			this._begin(connection, exchange);
+			this._startExchange(connection, exchange);
 			return;
 		}
 
-		connection.waiting.push(exchange);
-		this._withdrawEnd(connection.current);
+		connection.pipelined.push(exchange);
+		this._removeCloseHeader(connection.current);
 	}
 
-	private _begin(connection: Connection, exchange: Exchange): void {
+	private _startExchange(connection: Connection, exchange: Exchange): void {
 		connection.current = exchange;
-		this._unfinished++;
+		this._unfinishedAnswers++;
 		exchange.outgoing.once('finish', () => {
-			// A socket that was closed or has failed says so of the bytes that it drops, too.
+			// A destroyed or failed socket also emits 'finish' for bytes that it discards.
 			const {destroyed, errored} = connection.socket;
-			exchange.isOver ||= !destroyed && errored === null;
+			exchange.isSettled ||= !destroyed && errored === null;
 		});
 		exchange.outgoing.once('close', () => {
-			this._finish(connection);
-			this._tellIfCut(connection, exchange);
+			this._finishExchange(connection);
+			this._reportIfCut(connection, exchange);
 		});
-		this._announceEnd(connection);
-		const refusal = refusalOf(exchange.incoming);
+		this._setCloseHeader(connection);
+		const refusal = rejectionStatus(exchange.incoming);
 		if (refusal === undefined) {
-			this._take(exchange.incoming, exchange.outgoing);
+			this._handleCall(exchange.incoming, exchange.outgoing);
 			return;
 		}
 
@@ -240,19 +243,19 @@
 	}
 
 	/**
-	 * Bytes have come that are no call, or a head has not become whole in time. The answers in front of them go out first;
-	 * where there is none, they are refused. In the middle of a call's body they end that call.
+	 * Handles input that cannot be parsed, and a request head that timed out. Answers in progress are completed before the
+	 * connection closes; without one, the input is refused. A parse error inside a request body terminates that call.
 	 */
-	private _takeUnreadable(error: NodeJS.ErrnoException, socket: Socket): void {
+	private _handleParseError(error: NodeJS.ErrnoException, socket: Socket): void {
 		const connection = this._callerConnections.get(socket);
-		if (connection === undefined || socket.destroyed || goneCodes.has(error.code ?? '')) {
+		if (connection === undefined || socket.destroyed || disconnectCodes.has(error.code ?? '')) {
 			socket.destroy(error);
 			return;
 		}
 
-		const {current, isEnding} = connection;
-		const refusal = `HTTP/1.1 ${unreadableStatuses[error.code ?? ''] ?? '400 Bad Request'}\r\nConnection: close\r\n\r\n`;
-		connection.isUnreadable = true;
+		const {current, isClosing} = connection;
+		const refusal = `HTTP/1.1 ${parseErrorStatuses[error.code ?? ''] ?? '400 Bad Request'}\r\nConnection: close\r\n\r\n`;
+		connection.hasParseError = true;
 		if (current?.incoming.complete === false) {
 			if (!current.outgoing.headersSent) {
 				socket.write(refusal);
@@ -260,79 +263,79 @@
 
 			socket.destroy(error);
 		} else if (current !== undefined) {
-			this._announceEnd(connection);
-		} else if (!isEnding) {
+			this._setCloseHeader(connection);
+		} else if (!isClosing) {
 			socket.write(refusal);
-			this._end(connection);
+			this._closeGracefully(connection);
 		}
 	}
 
-	private _finish(connection: Connection): void {
-		this._unfinished--;
+	private _finishExchange(connection: Connection): void {
+		this._unfinishedAnswers--;
 		connection.current = undefined;
-		connection.bytesAtRest = connection.socket.bytesRead;
-		if (connection.isEnding || connection.socket.destroyed) {
+		connection.bytesReadWhenIdle = connection.socket.bytesRead;
+		if (connection.isClosing || connection.socket.destroyed) {
 			return;
 		}
 
-		const next = connection.waiting.shift();
+		const next = connection.pipelined.shift();
 		if (next !== undefined) {
-			this._begin(connection, next);
-		} else if (connection.isUnreadable) {
-			this._end(connection);
-		} else if (this._endsIdle) {
-			afterReading(() => {
-				this._endIfIdle(connection);
+			this._startExchange(connection, next);
+		} else if (connection.hasParseError) {
+			this._closeGracefully(connection);
+		} else if (this._closesIdleConnections) {
+			afterPendingReads(() => {
+				this._closeIfIdle(connection);
 			});
 		}
 	}
 
-	private _endIfIdle(connection: Connection): void {
-		const {current, bytesAtRest, socket} = connection;
-		if (current === undefined && bytesAtRest > 0 && socket.bytesRead === bytesAtRest) {
-			this._end(connection);
+	private _closeIfIdle(connection: Connection): void {
+		const {current, bytesReadWhenIdle, socket} = connection;
+		if (current === undefined && bytesReadWhenIdle > 0 && socket.bytesRead === bytesReadWhenIdle) {
+			this._closeGracefully(connection);
 		}
 	}
 
-	/** The last answer of a connection says so, while its head is still here. */
-	private _announceEnd({current, waiting, isUnreadable}: Connection): void {
-		if ((this._isLeaving || isUnreadable) && current !== undefined && waiting.length === 0 && !current.outgoing.headersSent) {
+	/** Adds `connection: close` to the last answer of a connection, if its head is not sent yet. */
+	private _setCloseHeader({current, pipelined, hasParseError}: Connection): void {
+		if ((this._isKeepAliveDisabled || hasParseError) && current !== undefined && pipelined.length === 0 && !current.outgoing.headersSent) {
 			current.outgoing.setHeader('connection', 'close');
 		}
 	}
 
-	/** Another call has come behind this one, and is answered too. */
-	private _withdrawEnd({outgoing}: Exchange): void {
-		if (this._isLeaving && !outgoing.headersSent) {
+	/** Removes `connection: close` from an answer, because a pipelined call behind it will be answered as well. */
+	private _removeCloseHeader({outgoing}: Exchange): void {
+		if (this._isKeepAliveDisabled && !outgoing.headersSent) {
 			outgoing.removeHeader('connection');
 		}
 	}
 
-	/** Ends this side after the bytes that it owes, and reads on until the caller ends too. */
-	private _end(connection: Connection): void {
+	/** Closes this side after all pending bytes, and keeps reading until the caller closes its side or the linger time is over. */
+	private _closeGracefully(connection: Connection): void {
 		const {socket} = connection;
-		if (connection.isEnding || socket.destroyed) {
+		if (connection.isClosing || socket.destroyed) {
 			return;
 		}
 
-		connection.isEnding = true;
-		this._unfinished++;
+		connection.isClosing = true;
+		this._unfinishedAnswers++;
 		socket.end(() => {
 			const timer = setTimeout(() => {
 				socket.destroy();
-			}, longestLinger);
+			}, maxLingerMilliseconds);
 			socket.once('close', () => {
 				clearTimeout(timer);
 			});
 		});
 	}
 
-	private _tellIfCut({socket, bytesLeft}: Connection, exchange: Exchange): void {
-		if (exchange.isOver) {
+	private _reportIfCut({socket, bytesLeft}: Connection, exchange: Exchange): void {
+		if (exchange.isSettled) {
 			return;
 		}
 
-		exchange.isOver = true;
+		exchange.isSettled = true;
 		this._onCut.fire({
 			incoming: exchange.incoming,
 			bytesLeft,
--- a/src/node/front/held-answer.ts
+++ b/src/node/front/held-answer.ts
@@ -1,36 +1,36 @@
-/** An answer that is held until it is whole, or too large to be held. */
+/** Buffers an answer until it is complete or exceeds the buffer limit. */
 import {type AnswerReading} from '../../common/protocol/dialect.ts';
 
 /**
- * Guards callers against answers that break off: once the head has gone out, a call can only be broken off too. Held
- * until its last byte, the answer of an idempotent call can be had from another backend server instead.
+ * Protects callers from truncated answers. Once the head is sent to the caller, a failure of the backend server can only
+ * truncate the answer. While the answer is buffered, an idempotent call can still be retried on another backend server.
  */
 export class HeldAnswer {
-	readonly reading: AnswerReading;
-	/** The last byte is there. */
-	isWhole = false;
-	private readonly _limit: number;
+	readonly parsedHead: AnswerReading;
+	/** The last byte has been received. */
+	isComplete = false;
+	private readonly _maxBytes: number;
 	private _chunks: Uint8Array[] = [];
 	private _bytes = 0;
 
-	/** `limit` = most bytes held. */
-	constructor(limit: number, reading: AnswerReading) {
-		this._limit = limit;
-		this.reading = reading;
+	/** `maxBytes`: size of the buffer. */
+	constructor(maxBytes: number, parsedHead: AnswerReading) {
+		this._maxBytes = maxBytes;
+		this.parsedHead = parsedHead;
 	}
 
 	get bytes(): number {
 		return this._bytes;
 	}
 
-	/** Takes a piece in; false = the answer has become too large to be held on. */
+	/** Adds a chunk; returns false if the answer now exceeds the buffer limit. */
 	add(chunk: Uint8Array): boolean {
 		this._chunks.push(chunk);
 		this._bytes += chunk.length;
-		return this._bytes <= this._limit;
+		return this._bytes <= this._maxBytes;
 	}
 
-	/** Hands the pieces over. */
+	/** Removes and returns all buffered chunks. */
 	take(): readonly Uint8Array[] {
 		const chunks = this._chunks;
 		this._chunks = [];
--- a/src/node/front/idle-at-stop.test.ts
+++ b/src/node/front/idle-at-stop.test.ts
@@ -14,7 +14,7 @@
 	});
 
 	/** A connection that the listener has accepted, after so many calls and their answers. */
-	async function open(calls: number): Promise<{server: GracefulServer; caller: Socket; read: () => string}> {
+	async function openConnection(calls: number): Promise<{server: GracefulServer; caller: Socket; read: () => string}> {
 		const server = owned.add(new GracefulServer({}, (_incoming, outgoing) => {
 			outgoing.end('answer');
 		}));
@@ -43,8 +43,8 @@
 	// Guards a call that is in the system's buffer against the end of idle connections.
 	for (const [calls, which] of [[0, 'the first call'], [1, 'the next call']] as const) {
 		it(`answers ${which} of a connection that was in before the end`, async () => {
-			const {server, caller, read} = await open(calls);
-			server.leave();
+			const {server, caller, read} = await openConnection(calls);
+			server.disableKeepAlive();
 			caller.write(call);
 			server.closeIdleConnections();
 			await once(caller, 'close');
@@ -54,11 +54,11 @@
 
 	// Guards the first call of a connection that is accepted while idle ones end.
 	it('answers the first call of a connection that it accepts while it ends idle ones', async () => {
-		const {server} = await open(0);
+		const {server} = await openConnection(0);
 		// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- a server on a port has such an address.
 		const {port} = server.address() as AddressInfo;
 		let text = '';
-		const late = new Promise<Socket>(resolve => {
+		const lateConnection = new Promise<Socket>(resolve => {
 			setImmediate(() => {
 				const caller = connect(port, '127.0.0.1');
 				owned.add(toDisposable(() => caller.destroy()));
@@ -70,9 +70,9 @@
 				resolve(caller);
 			});
 		});
-		server.leave();
+		server.disableKeepAlive();
 		server.closeIdleConnections();
-		await once(await late, 'close');
+		await once(await lateConnection, 'close');
 		expect(text.startsWith('HTTP/1.1 200')).toEqual(true);
 	});
 });
--- a/src/node/front/incomplete-calls.ts
+++ b/src/node/front/incomplete-calls.ts
@@ -1,15 +1,15 @@
-/** Calls whose bodies are still coming in, for a listener that stops to take calls. */
+/** Tracks calls whose bodies are still being received, so that a stopping listener can refuse them. */
 import {type ServerResponse} from 'node:http';
 
 /**
- * Guards callers, and the end of a VM, against bodies that come in while it stops. One that is whole only after the last call
- * was taken might not end before the process does, and would be cut; one that never is would keep the VM for good.
- * Nothing of such a call has been sent, so refusing it as not run is true.
+ * Handles request bodies that arrive while a VM stops. A call whose body completes after the VM has stopped accepting calls
+ * might not complete before the process exits, and would be cut; a body that never completes would delay the stop forever.
+ * Nothing of such a call has been sent to a backend server, so the refusal may state that it has not run.
  */
 export class IncompleteCalls {
 	private readonly _refusals = new Map<ServerResponse, () => void>();
 
-	/** A body is expected; `refuse` answers its call in place of taking it. */
+	/** Adds a call whose body is expected; `refuse` sends the refusal. */
 	add(outgoing: ServerResponse, refuse: () => void): void {
 		this._refusals.set(outgoing, refuse);
 		outgoing.once('close', () => {
@@ -17,7 +17,7 @@
 		});
 	}
 
-	/** The body is whole, or as much of it as is read before its call is taken. */
+	/** Removes a call once its body, or as much of it as is buffered before placement, has been received. */
 	remove(outgoing: ServerResponse): void {
 		this._refusals.delete(outgoing);
 	}
--- a/src/node/front/late-start.test.ts
+++ b/src/node/front/late-start.test.ts
@@ -29,7 +29,7 @@
 			});
 		});
 		const connections = store.add(new BackendConnections({connectMilliseconds: 1000, idleMilliseconds: 1000}));
-		const told = await new Promise<AttemptFailure | 'sent'>(resolve => {
+		const outcome = await new Promise<AttemptFailure | 'sent'>(resolve => {
 			const attempt = new BackendAttempt(1, {
 				onSent() {
 					resolve('sent');
@@ -45,7 +45,7 @@
 				method: 'POST', path: '/', headers: [], body: undefined,
 			});
 		});
-		expect(told).toEqual('not-sent');
+		expect(outcome).toEqual('not-sent');
 		expect(received).toEqual([]);
 		store.dispose();
 	});
--- a/src/node/front/live-call.ts
+++ b/src/node/front/live-call.ts
@@ -1,4 +1,4 @@
-/** One call on this VM: carries out what the call engine decides and tells it what happened. */
+/** One call on this VM: executes the call engine's decisions on sockets and reports events to the engine. */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {
 	type AttemptFailure, type CallEffect, type CallId, type CallOutcome, type CallRequest,
@@ -11,43 +11,44 @@
 import {type RequestBody} from './request-body.ts';
 import {type AnswerHead, type AttemptListener, type CallEventSink} from './types.ts';
 
-type Start = CallEffect & {type: 'start-attempt'};
-type Refusal = CallEffect & {type: 'refuse'};
+type StartAttempt = CallEffect & {type: 'start-attempt'};
+type RefusalEffect = CallEffect & {type: 'refuse'};
 
 /**
- * How long a caller may take nothing of an answer that is in whole. Longer than for one that still comes in, which holds a
- * backend server's slot: this one holds memory alone. A slow reader seems to take nothing while it empties what its system
- * holds, which tells of room again by the sixteenth of its buffer: 2 MB of 32, read in this time at 35 KB/s.
+ * Stall timeout of a caller once the backend server's answer has been received completely. Longer than
+ * `stallMilliseconds`, because only memory is held by then and no slot of a backend server. A slow reader makes no visible
+ * progress while it empties its kernel's receive buffer: the kernel reopens the TCP window in steps of a sixteenth of that
+ * buffer, which is 2 MB of 32 MB, read within this time at 35 KB/s.
  */
-const usualHandOver: Milliseconds = 60_000;
+const defaultCompleteAnswerStall: Milliseconds = 60_000;
 
-/** Statuses whose answers have no body, so that nothing tells its length. */
+/** Statuses whose answers have no body, and therefore need no length. */
 const bodilessStatuses = new Set([204, 304]);
 
-/** An answer that tells no length ends with its connection (RFC 9112, 6.3). */
-function isEndedByConnection({status, headers}: AnswerHead): boolean {
+/** True if the answer's body has no declared length and ends when the connection closes (RFC 9112, 6.3). */
+function isCloseDelimited({status, headers}: AnswerHead): boolean {
 	return headers['content-length'] === undefined && headers['transfer-encoding'] === undefined && !bodilessStatuses.has(status);
 }
 
-/** The caller's side of a call. */
-export type Exchange = {
+/** The caller's request and response, and how to serve them. */
+export type CallerExchange = {
 	readonly incoming: IncomingMessage;
 	readonly outgoing: ServerResponse;
-	/** Path on the backend server. */
+	/** Request path to send to the backend server. */
 	readonly path: string;
 	readonly body: RequestBody;
-	/** Identifies the call in all log lines, here and at its caller. */
+	/** Identifies the call in all log lines, both here and at its caller. */
 	readonly traceId: string;
-	/** W3C trace context to pass on, where the dialect has one. */
+	/** W3C trace context to forward, if the dialect uses it. */
 	readonly traceparent?: string;
 	readonly dialect: Dialect;
-	/** A caller that takes no byte for this long is taken for gone. */
+	/** Time without progress on a blocked write after which the caller's connection is closed. */
 	readonly stallMilliseconds: Milliseconds;
-	/** The same for an answer that is in whole. */
-	readonly handOverMilliseconds?: Milliseconds | undefined;
+	/** The same timeout once the backend server's answer has been received completely. */
+	readonly completeAnswerStallMilliseconds?: Milliseconds | undefined;
 };
 
-/** A call and its attempts. Ends itself when its answer is out or its caller has gone. */
+/** A call with its attempts. Completes when the answer is written or the caller disconnects. */
 export class LiveCall implements AttemptListener {
 	readonly traceId: string;
 	private readonly _request: CallRequest;
@@ -58,22 +59,22 @@
 	private readonly _traceparent: string | undefined;
 	private readonly _dialect: Dialect;
 	private readonly _stallMilliseconds: Milliseconds;
-	private readonly _handOverMilliseconds: Milliseconds;
+	private readonly _completeAnswerStallMilliseconds: Milliseconds;
 	private readonly _sink: CallEventSink;
 	private readonly _connections: BackendConnections;
 	private readonly _attempts = new Map<number, BackendAttempt>();
 	private readonly _startedAttempts: number[] = [];
 	private readonly _resumeOffsets = new Map<number, number>();
 	private readonly _heads = new Map<number, AnswerHead>();
-	private readonly _held = new Map<number, HeldAnswer>();
-	private _passedOn: BackendAttempt | undefined;
-	private _bytesPassedOn = 0;
+	private readonly _heldAnswers = new Map<number, HeldAnswer>();
+	private _forwardedAttempt: BackendAttempt | undefined;
+	private _forwardedBytes = 0;
 	private _isAnswered = false;
-	private _isWaiting = false;
+	private _isStallTimerArmed = false;
 
 	constructor(
 		request: CallRequest,
-		exchange: Exchange,
+		exchange: CallerExchange,
 		sink: CallEventSink,
 		connections: BackendConnections,
 	) {
@@ -85,7 +86,7 @@
 		this._dialect = exchange.dialect;
 		this.traceId = exchange.traceId;
 		this._stallMilliseconds = exchange.stallMilliseconds;
-		this._handOverMilliseconds = exchange.handOverMilliseconds ?? usualHandOver;
+		this._completeAnswerStallMilliseconds = exchange.completeAnswerStallMilliseconds ?? defaultCompleteAnswerStall;
 		this._body = exchange.body;
 		this._sink = sink;
 		this._connections = connections;
@@ -98,16 +99,16 @@
 		return this._request.callId;
 	}
 
-	/** All attempts of this call so far. */
+	/** Identifiers of all attempts of this call so far. */
 	get startedAttempts(): readonly number[] {
 		return this._startedAttempts;
 	}
 
-	startAttempt(effect: Start): void {
+	startAttempt(effect: StartAttempt): void {
 		this._startedAttempts.push(effect.attemptId);
 		const attempt = new BackendAttempt(effect.attemptId, this);
 		this._attempts.set(effect.attemptId, attempt);
-		const dispatcher = effect.needsFreshConnection ? this._connections.fresh(effect) : this._connections.pool(effect);
+		const dispatcher = effect.needsFreshConnection ? this._connections.createDedicatedClient(effect) : this._connections.pool(effect);
 		attempt.start(dispatcher, {
 			method: this._request.method,
 			path: this._path,
@@ -115,7 +116,7 @@
 			body: this._body.toSend(),
 		});
 		if (effect.needsFreshConnection) {
-			// Closes once the attempt has ended; until then undici keeps it.
+			// undici completes the attempt in flight before it closes the connection.
 			void dispatcher.close();
 		}
 	}
@@ -123,46 +124,49 @@
 	cancelAttempt(attemptId: number): void {
 		const attempt = this._attempts.get(attemptId);
 		const length = Number(this._heads.get(attemptId)?.headers['content-length'] ?? Number.NaN);
-		this._forget(attemptId);
+		this._removeAttempt(attemptId);
 		attempt?.cancel(Number.isNaN(length) ? undefined : length);
 	}
 
-	/** Sends the head of the attempt's answer on; its body follows as it comes. */
-	passOn(attemptId: number, outcome: CallOutcome): void {
+	/** Forwards the head of the attempt's answer to the caller; `onData` forwards the body as it arrives. */
+	forwardAnswer(attemptId: number, outcome: CallOutcome): void {
 		const head = this._heads.get(attemptId);
 		const attempt = this._attempts.get(attemptId);
 		if (head === undefined || attempt === undefined) {
 			return;
 		}
 
-		this._passedOn = attempt;
+		this._forwardedAttempt = attempt;
 		if (this._outgoing.headersSent) {
-			// A resumed download: the head went out with the first attempt.
+			// A resumed download: the head was already sent for the first attempt.
 			return;
 		}
 
-		const held = this._held.get(attemptId);
+		const held = this._heldAnswers.get(attemptId);
 		const headers = this._dialect.answerHeaders(head.headers, outcome);
-		if (isEndedByConnection(head)) {
-			this._endByConnection(headers);
-		} else if (held?.isWhole === true && head.headers['content-length'] === undefined) {
+		if (isCloseDelimited(head)) {
+			this._makeCloseDelimited(headers);
+		} else if (held?.isComplete === true && head.headers['content-length'] === undefined) {
 			headers.push('content-length', String(held.bytes));
 		}
 
 		this._outgoing.writeHead(head.status, headers);
 		if (held !== undefined) {
-			this._passHeldOn(attempt, held);
+			this._forwardHeldAnswer(attempt, held);
 		}
 	}
 
-	/** Cuts the answer off so that its caller can tell: no last chunk, fewer bytes than promised. */
-	breakOff(): void {
+	/**
+	 * Closes the caller's connection in the middle of the answer. The caller detects the truncation by the missing last chunk,
+	 * or by fewer bytes than the content length.
+	 */
+	abortAnswer(): void {
 		this._isAnswered = true;
 		this._outgoing.destroy();
 	}
 
-	/** The final answer of a call that was given up, as problem+json (RFC 9457). */
-	refuse(effect: Refusal): void {
+	/** Sends the final answer of a refused call in the form of its dialect, or closes the connection if a head was already sent. */
+	refuse(effect: RefusalEffect): void {
 		this._isAnswered = true;
 		this._body.discard();
 		if (this._outgoing.headersSent) {
@@ -180,9 +184,9 @@
 	}
 
 	onHead(attempt: BackendAttempt, head: AnswerHead): void {
-		const reading = this._dialect.readAnswer(head.status, head.headers, this._incoming.headers);
-		if (!reading.isOwn) {
-			// The connection goes too: what else comes on it may belong to anybody.
+		const parsedHead = this._dialect.readAnswer(head.status, head.headers, this._incoming.headers);
+		if (!parsedHead.isOwn) {
+			// Closes the connection as well: further bytes on it may belong to any other call.
 			attempt.cancel();
 			this.onFailure(attempt, 'wrong-answer');
 			return;
@@ -190,53 +194,53 @@
 
 		this._heads.set(attempt.id, head);
 		if (this._dialect.heldAnswerBytes > 0) {
-			this._held.set(attempt.id, new HeldAnswer(this._dialect.heldAnswerBytes, reading));
+			this._heldAnswers.set(attempt.id, new HeldAnswer(this._dialect.heldAnswerBytes, parsedHead));
 			return;
 		}
 
-		this._tellHead(attempt, head, reading);
+		this._reportHead(attempt, head, parsedHead);
 	}
 
 	onData(attempt: BackendAttempt, chunk: Uint8Array): boolean {
-		const held = this._held.get(attempt.id);
-		if (held !== undefined && attempt !== this._passedOn) {
+		const held = this._heldAnswers.get(attempt.id);
+		if (held !== undefined && attempt !== this._forwardedAttempt) {
 			if (!held.add(chunk)) {
-				this._tellHead(attempt, this._heads.get(attempt.id)!, held.reading);
+				this._reportHead(attempt, this._heads.get(attempt.id)!, held.parsedHead);
 			}
 
 			return true;
 		}
 
-		if (attempt !== this._passedOn || this._isAnswered) {
+		if (attempt !== this._forwardedAttempt || this._isAnswered) {
 			return true;
 		}
 
-		this._bytesPassedOn += chunk.length;
+		this._forwardedBytes += chunk.length;
 		if (this._outgoing.write(chunk)) {
 			return true;
 		}
 
-		this._waitForCaller();
+		this._armStallTimer();
 		return false;
 	}
 
 	onEnd(attempt: BackendAttempt): void {
-		const held = this._held.get(attempt.id);
-		if (held !== undefined && attempt !== this._passedOn) {
-			held.isWhole = true;
-			this._tellHead(attempt, this._heads.get(attempt.id)!, held.reading);
-		} else if (attempt === this._passedOn && !this._isAnswered) {
+		const held = this._heldAnswers.get(attempt.id);
+		if (held !== undefined && attempt !== this._forwardedAttempt) {
+			held.isComplete = true;
+			this._reportHead(attempt, this._heads.get(attempt.id)!, held.parsedHead);
+		} else if (attempt === this._forwardedAttempt && !this._isAnswered) {
 			this._endAnswer();
 		}
 
-		this._forget(attempt.id);
-		this._sink.feed({type: 'attempt-done', attemptId: attempt.id, bytesPassedOn: this._bytesPassedOn});
+		this._removeAttempt(attempt.id);
+		this._sink.feed({type: 'attempt-done', attemptId: attempt.id, bytesPassedOn: this._forwardedBytes});
 	}
 
 	onFailure(attempt: BackendAttempt, failure: AttemptFailure): void {
-		this._forget(attempt.id);
-		if (this._passedOn === attempt) {
-			this._passedOn = undefined;
+		this._removeAttempt(attempt.id);
+		if (this._forwardedAttempt === attempt) {
+			this._forwardedAttempt = undefined;
 		}
 
 		this._sink.feed({
@@ -244,13 +248,13 @@
 			attemptId: attempt.id,
 			failure,
 			isReplayable: this._body.isReplayable,
-			bytesPassedOn: this._bytesPassedOn,
+			bytesPassedOn: this._forwardedBytes,
 		});
 	}
 
 	/**
-	 * Guards a resumed download against a partial answer that begins elsewhere than asked for: joined to
-	 * what was passed on it would look whole and be wrong. Without a validator the engine breaks it off.
+	 * Checks that the partial answer to a resumed download starts at the requested offset. Otherwise the joined body would
+	 * look complete but be corrupt. On a mismatch no validator is reported, and the engine then breaks the answer off.
 	 */
 	private _isExpectedRange(attemptId: number, head: AnswerHead): boolean {
 		const offset = this._resumeOffsets.get(attemptId);
@@ -258,86 +262,86 @@
 	}
 
 	/**
-	 * Guards a backend server's slot against a caller whose connection has gone silent: it takes no byte and
-	 * sends no end, and a download to it would hold the slot for good. Any byte that it takes counts as life,
-	 * so that a slow caller is never cut.
+	 * Starts the stall timeout for a caller that does not read, and resumes the attempt once the caller's connection drains.
+	 * Without the timeout a caller whose connection went silent without closing would hold a backend server's slot forever.
+	 * Every byte that the caller reads resets the timeout, so a slow caller is not disconnected.
 	 */
-	private _waitForCaller(): void {
-		if (this._isWaiting) {
+	private _armStallTimer(): void {
+		if (this._isStallTimerArmed) {
 			return;
 		}
 
-		this._isWaiting = true;
+		this._isStallTimerArmed = true;
 		const onStall = () => {
 			this._outgoing.destroy();
 		};
 
-		const onTaken = () => {
-			this._isWaiting = false;
-			this._outgoing.off('drain', onTaken);
-			this._outgoing.off('finish', onTaken);
+		const onDrained = () => {
+			this._isStallTimerArmed = false;
+			this._outgoing.off('drain', onDrained);
+			this._outgoing.off('finish', onDrained);
 			this._outgoing.off('timeout', onStall);
 			this._outgoing.setTimeout(0);
-			this._passedOn?.resume();
+			this._forwardedAttempt?.resume();
 		};
 
 		this._outgoing.setTimeout(this._stallMilliseconds, onStall);
-		this._outgoing.once('drain', onTaken);
-		// An ended answer never drains, it finishes. Node gives the connection to the next call at that event, which must not
-		// inherit the timer: so this listener comes first.
-		this._outgoing.prependOnceListener('finish', onTaken);
+		this._outgoing.once('drain', onDrained);
+		// An ended response emits 'finish' instead of 'drain'. On that event Node assigns the connection to the next call, which
+		// must not inherit the timeout, so this listener has to run first.
+		this._outgoing.prependOnceListener('finish', onDrained);
 	}
 
-	/** The last byte is written; a caller that never takes it must not hold the connection for good. */
+	/** Ends the response. A caller that never reads the remaining bytes must not hold the connection forever. */
 	private _endAnswer(): void {
 		this._isAnswered = true;
 		this._outgoing.end();
 		if (this._outgoing.writableLength > 0) {
-			this._waitForCaller();
-			this._outgoing.setTimeout(this._handOverMilliseconds);
+			this._armStallTimer();
+			this._outgoing.setTimeout(this._completeAnswerStallMilliseconds);
 		}
 	}
 
 	/**
-	 * Guards against vouching for an answer whose length nobody told: a backend server that dies in the middle of it
-	 * closes its connection just as at its end. Passed on with a length or in chunks it would look whole; so it ends as it
-	 * came, with the connection.
+	 * Forwards a close-delimited answer as close-delimited. A backend server that dies in the middle of such an answer closes
+	 * its connection in the same way as at the end, so a content length or chunked framing would present a truncated body
+	 * as complete.
 	 */
-	private _endByConnection(headers: string[]): void {
+	private _makeCloseDelimited(headers: string[]): void {
 		headers.push('connection', 'close');
 		this._outgoing.removeHeader('transfer-encoding');
 		this._outgoing.shouldKeepAlive = false;
 	}
 
-	private _tellHead(attempt: BackendAttempt, head: AnswerHead, reading: AnswerReading): void {
+	private _reportHead(attempt: BackendAttempt, head: AnswerHead, parsedHead: AnswerReading): void {
 		const {etag} = head.headers;
 		this._sink.feed({
 			type: 'attempt-head',
 			attemptId: attempt.id,
 			status: head.status,
-			report: reading.report,
-			...(reading.rateLimit === undefined ? {} : {rateLimit: reading.rateLimit}),
-			isDeclaredNotRun: reading.isDeclaredNotRun,
+			report: parsedHead.report,
+			...(parsedHead.rateLimit === undefined ? {} : {rateLimit: parsedHead.rateLimit}),
+			isDeclaredNotRun: parsedHead.isDeclaredNotRun,
 			isReplayable: this._body.isReplayable,
 			validator: this._isExpectedRange(attempt.id, head) && etag?.startsWith('"') ? etag : undefined,
 		});
 	}
 
-	private _passHeldOn(attempt: BackendAttempt, held: HeldAnswer): void {
+	private _forwardHeldAnswer(attempt: BackendAttempt, held: HeldAnswer): void {
 		for (const chunk of held.take()) {
-			this._bytesPassedOn += chunk.length;
+			this._forwardedBytes += chunk.length;
 			this._outgoing.write(chunk);
 		}
 
-		if (held.isWhole) {
+		if (held.isComplete) {
 			this._endAnswer();
 		} else if (this._outgoing.writableNeedDrain) {
 			attempt.pause();
-			this._waitForCaller();
+			this._armStallTimer();
 		}
 	}
 
-	private _requestHeaders(effect: Start): string[] {
+	private _requestHeaders(effect: StartAttempt): string[] {
 		const headers = this._dialect.attemptHeaders(this._incoming.headers, {
 			timeoutMilliseconds: effect.timeoutMilliseconds, identity: effect.identity, traceparent: this._traceparent,
 		});
@@ -349,10 +353,10 @@
 		return headers;
 	}
 
-	private _forget(attemptId: number): void {
+	private _removeAttempt(attemptId: number): void {
 		this._attempts.delete(attemptId);
 		this._heads.delete(attemptId);
-		this._held.delete(attemptId);
+		this._heldAnswers.delete(attemptId);
 	}
 
 	private _onCallerClosed(): void {
--- a/src/node/front/load-measurer.ts
+++ b/src/node/front/load-measurer.ts
@@ -1,4 +1,4 @@
-/** Measuring calls: asks a backend server's load endpoint. Each counts against the measuring budget. */
+/** Load probes: requests to the load endpoints of backend servers. The call engine limits them by the measuring budget. */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type Dispatcher} from 'undici';
 import {type CallEffect, type LoadReport} from '../../common/calls/types.ts';
@@ -7,41 +7,41 @@
 import {type Measurer} from './call-carrier.ts';
 import {type CallEventSink} from './types.ts';
 
-type Measure = CallEffect & {type: 'measure'};
+type ProbeEffect = CallEffect & {type: 'measure'};
 
-/** A load endpoint says a line; what is longer is none. */
-const largestLoadBody = 4096;
+/** A load report is a single line; a longer body is not treated as one. */
+const maxLoadBodyBytes = 4096;
 
-/** The time for a measuring call is over. */
-class MeasuringTimeout extends Error {
-	override readonly name = 'MeasuringTimeout';
+/** Reason passed to undici if a load probe times out. */
+class LoadProbeTimeout extends Error {
+	override readonly name = 'LoadProbeTimeout';
 }
 
-/** One measuring call, as an undici dispatch handler, since calls wait for it: no streams and no abort signal of its own. */
-class Measurement implements Dispatcher.DispatchHandler {
-	private readonly _read: (status: number, headers: IncomingHttpHeaders, body: string) => LoadReport | undefined;
+/** One load probe. A plain undici dispatch handler, without streams or an abort signal, to keep latency low: calls wait for the result. */
+class LoadProbe implements Dispatcher.DispatchHandler {
+	private readonly _parse: (status: number, headers: IncomingHttpHeaders, body: string) => LoadReport | undefined;
 	private readonly _onDone: (report: LoadReport | undefined) => void;
 	private readonly _timer: NodeJS.Timeout;
 	private readonly _chunks: Uint8Array[] = [];
 	private _controller: Dispatcher.DispatchController | undefined;
 	private _status = 0;
 	private _headers: IncomingHttpHeaders = {};
-	private _bytes = 0;
+	private _receivedBytes = 0;
 	private _isDone = false;
 
-	constructor(milliseconds: number, read: Measurement['_read'], onDone: Measurement['_onDone']) {
-		this._read = read;
+	constructor(timeoutMilliseconds: number, parse: LoadProbe['_parse'], onDone: LoadProbe['_onDone']) {
+		this._parse = parse;
 		this._onDone = onDone;
 		this._timer = setTimeout(() => {
-			this._end(undefined);
-			this._controller?.abort(new MeasuringTimeout());
-		}, milliseconds);
+			this._finish(undefined);
+			this._controller?.abort(new LoadProbeTimeout());
+		}, timeoutMilliseconds);
 	}
 
 	onRequestStart(controller: Dispatcher.DispatchController): void {
 		this._controller = controller;
 		if (this._isDone) {
-			controller.abort(new MeasuringTimeout());
+			controller.abort(new LoadProbeTimeout());
 		}
 	}
 
@@ -51,35 +51,35 @@
 	}
 
 	onResponseData(_controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
-		this._bytes += chunk.length;
-		if (this._bytes <= largestLoadBody) {
+		this._receivedBytes += chunk.length;
+		if (this._receivedBytes <= maxLoadBodyBytes) {
 			this._chunks.push(chunk);
 		}
 	}
 
 	onResponseEnd(): void {
-		this._end(this._reading());
+		this._finish(this._parseReport());
 	}
 
 	onResponseError(): void {
-		// Refused, cut off or late: the engine learns that there is no report, and counts it.
-		this._end(undefined);
+		// Refused, reset or timed out: the engine receives no report and counts the failed probe.
+		this._finish(undefined);
 	}
 
-	private _reading(): LoadReport | undefined {
-		if (this._isDone || this._bytes > largestLoadBody) {
+	private _parseReport(): LoadReport | undefined {
+		if (this._isDone || this._receivedBytes > maxLoadBodyBytes) {
 			return undefined;
 		}
 
 		try {
-			return this._read(this._status, this._headers, Buffer.concat(this._chunks).toString());
+			return this._parse(this._status, this._headers, Buffer.concat(this._chunks).toString());
 		} catch {
-			// Not the form of a load report: as good as none, and the engine counts it so.
+			// A malformed load report: the engine treats it as a missing one.
 			return undefined;
 		}
 	}
 
-	private _end(report: LoadReport | undefined): void {
+	private _finish(report: LoadReport | undefined): void {
 		if (!this._isDone) {
 			this._isDone = true;
 			clearTimeout(this._timer);
@@ -88,7 +88,7 @@
 	}
 }
 
-/** Measures over the same connections as calls, so that it opens none of its own. */
+/** Sends load probes on the connection pools that calls use, so that no further connections are needed. */
 export class LoadMeasurer implements Measurer {
 	private readonly _connections: BackendConnections;
 	private readonly _dialect: Dialect;
@@ -98,13 +98,13 @@
 		this._dialect = dialect;
 	}
 
-	measure(effect: Measure, sink: CallEventSink): void {
+	measure(effect: ProbeEffect, sink: CallEventSink): void {
 		const {measurementId, identity, path, timeoutMilliseconds} = effect;
-		const measurement = new Measurement(Math.ceil(timeoutMilliseconds), (status, headers, body) => this._dialect.readMeasurement(identity, status, headers, body), report => {
+		const loadProbe = new LoadProbe(Math.ceil(timeoutMilliseconds), (status, headers, body) => this._dialect.readMeasurement(identity, status, headers, body), report => {
 			sink.feed({type: 'measured', measurementId, report});
 		});
 		this._connections.pool(effect).dispatch({
 			method: 'GET', path, headers: [], idempotent: false,
-		}, measurement);
+		}, loadProbe);
 	}
 }
--- a/src/node/front/open-listener.test.ts
+++ b/src/node/front/open-listener.test.ts
@@ -9,12 +9,12 @@
 export const largeBytes = 16_000_000;
 
 /** An open listener, its first caller, and what both saw. */
-export type OpenListener = {
+export type TestListener = {
 	readonly server: GracefulServer;
 	readonly caller: Socket;
 	/** Paths of the calls that were handed on. */
-	readonly taken: string[];
-	readonly cuts: CutAnswer[];
+	readonly handledPaths: string[];
+	readonly cutAnswers: CutAnswer[];
 };
 
 /** A call without a body. */
@@ -39,23 +39,23 @@
 }
 
 /** Opens a listener that hands its calls to `take`, with one caller. */
-export async function openListener(
+export async function startTestListener(
 	store: DisposableStore,
-	take: (path: string, outgoing: ServerResponse) => void,
+	handleCall: (path: string, outgoing: ServerResponse) => void,
 	{options = {}, allowHalfOpen = false}: {readonly options?: ServerOptions; readonly allowHalfOpen?: boolean} = {},
-): Promise<OpenListener> {
-	const taken: string[] = [];
-	const cuts: CutAnswer[] = [];
+): Promise<TestListener> {
+	const handledPaths: string[] = [];
+	const cutAnswers: CutAnswer[] = [];
 	const server = store.add(new GracefulServer(options, (incoming, outgoing) => {
 		incoming.resume();
-		taken.push(incoming.url!);
-		take(incoming.url!, outgoing);
+		handledPaths.push(incoming.url!);
+		handleCall(incoming.url!, outgoing);
 	}));
-	server.onCut(cut => cuts.push(cut));
+	server.onCut(cut => cutAnswers.push(cut));
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	return {
-		server, taken, cuts, caller: await connectTo(store, server, allowHalfOpen),
+		server, handledPaths, cutAnswers, caller: await connectTo(store, server, allowHalfOpen),
 	};
 }
 
@@ -73,6 +73,6 @@
 }
 
 /** Statuses of the answers in what was read. */
-export function statusesOf(text: string): string[] {
+export function parseStatuses(text: string): string[] {
 	return Array.from(text.matchAll(/HTTP\/1\.1 (?<status>\d{3}) /gv), match => match.groups!.status!);
 }
--- a/src/node/front/page-server.ts
+++ b/src/node/front/page-server.ts
@@ -1,4 +1,4 @@
-/** The pages beside the callers' listener: which VMs to use, whether this one is ready, and its counters. */
+/** HTTP server for the directory of VMs, the readiness check and the metrics, each on a port of its own. */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Result} from 'neverthrow';
 import {type Failure} from '../../common/errors/failure.ts';
@@ -9,33 +9,33 @@
 import {closeListener} from './close-listener.ts';
 import {GracefulServer} from './graceful-server.ts';
 
-/** Longest that the end of the process waits for pages: less than a half of what a bounded stop leaves for its last steps. */
-const usualLongestEnd: Milliseconds = 100;
+/** Maximum wait of the process for pages in progress: less than half of the time that a bounded stop reserves for its last steps. */
+const defaultMaxCloseMilliseconds: Milliseconds = 100;
 
-/** An answer of a page. */
+/** Content of a page. */
 export type Page = {
 	readonly status: number;
 	readonly contentType?: string;
 	readonly body?: string;
 };
 
-/** Answers a GET; undefined = there is no such page. */
+/** Returns the page for a GET request; undefined results in 404. */
 export type PageHandler = (url: string) => Page | undefined | Promise<Page | undefined>;
 
 /**
- * Small pages on a port of their own, straight on node:http: three fixed paths need no router, and the directory is
- * asked about as often as calls come. What a router would cost here has not been measured.
+ * Serves small pages directly on node:http. Three fixed paths need no router, and the directory receives about as many
+ * requests as there are calls.
  */
 export class PageServer extends Disposable {
 	private readonly _server: GracefulServer;
-	private readonly _longestEnd: Milliseconds;
+	private readonly _maxCloseMilliseconds: Milliseconds;
 
-	/** `longestEnd` = longest that the end waits for pages under way. */
-	constructor(handler: PageHandler, idleMilliseconds: number, longestEnd: Milliseconds = usualLongestEnd) {
+	/** `maxCloseMilliseconds`: maximum time that `end` waits for pages in progress. */
+	constructor(handler: PageHandler, idleMilliseconds: number, maxCloseMilliseconds: Milliseconds = defaultMaxCloseMilliseconds) {
 		super();
-		this._longestEnd = longestEnd;
+		this._maxCloseMilliseconds = maxCloseMilliseconds;
 		this._server = this._register(new GracefulServer({keepAliveTimeout: idleMilliseconds, noDelay: true}, (incoming, outgoing) => {
-			void answer(handler, incoming, outgoing);
+			void respond(handler, incoming, outgoing);
 		}));
 	}
 
@@ -43,21 +43,21 @@
 		return listenOn(this._server, port, address, {early});
 	}
 
-	/** From now on each connection ends after its answer, so that none is idle when the process ends. */
+	/** Closes each connection after its current answer, so that no connection is idle when the process exits. */
 	leave(): void {
-		this._server.leave();
+		this._server.disableKeepAlive();
 	}
 
-	/** The process ends: resolves when the pages under way are out, or when the longest time for them is over. */
+	/** Closes the server; resolves once the pages in progress are sent or `maxCloseMilliseconds` has passed. */
 	async end(): Promise<void> {
-		return closeListener(this._server, this._longestEnd);
+		return closeListener(this._server, this._maxCloseMilliseconds);
 	}
 }
 
-async function answer(handler: PageHandler, incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
+async function respond(handler: PageHandler, incoming: IncomingMessage, outgoing: ServerResponse): Promise<void> {
 	incoming.resume();
-	const made = incoming.method === 'GET' ? handler(incoming.url ?? '') : undefined;
-	const page = made instanceof Promise ? await made : made;
+	const result = incoming.method === 'GET' ? handler(incoming.url ?? '') : undefined;
+	const page = result instanceof Promise ? await result : result;
 	const body = page?.body ?? '';
 	outgoing.writeHead(page?.status ?? 404, {
 		...(page?.contentType === undefined ? {} : {'content-type': page.contentType}),
--- a/src/node/front/request-body.ts
+++ b/src/node/front/request-body.ts
@@ -1,61 +1,61 @@
-/** Takes in a caller's request body: the start is kept, so that a call proven not run can be sent again. */
+/** Reads a caller's request body and buffers small ones, so that a call that provably has not run can be sent again. */
 import {type IncomingMessage} from 'node:http';
 import {Readable} from 'node:stream';
 
-/** Bounds of bodies in bytes. */
+/** Limits of request bodies, in bytes. */
 export type BodyLimits = {
 	/**
-	 * Bodies up to this size are read whole before the call is placed, so that a slow caller holds no slot
-	 * of a backend server, and can be sent again after a proof that nothing ran. Larger ones stream.
+	 * Bodies of up to this size are read completely before the call is placed, so that a slow caller holds no slot of a backend
+	 * server and the body can be sent again if the call provably has not run. Larger bodies are streamed.
 	 */
 	readonly keptBodyBytes: number;
-	/** Larger bodies are refused, or cut off where their head did not tell their size. */
+	/** Larger bodies are refused, or aborted while streaming if the head does not declare their size. */
 	readonly bodyBytes: number;
 };
 
-/** A body grew beyond the limit while it streamed. */
+/** A streamed body exceeded the limit. */
 class BodyTooLarge extends Error {
 	override readonly name = 'BodyTooLarge';
 }
 
-/** The start of a body, perhaps all of it. */
+/** A request body, buffered completely or in its first part. */
 export class RequestBody {
 	private readonly _incoming: IncomingMessage;
 	private readonly _limits: BodyLimits;
 	private readonly _chunks: Uint8Array[] = [];
 	private _bytes = 0;
-	private _isWhole = false;
+	private _isComplete = false;
 
 	constructor(incoming: IncomingMessage, limits: BodyLimits) {
 		this._incoming = incoming;
 		this._limits = limits;
 	}
 
-	/** True if the head already tells that the body is too large. */
+	/** True if the declared content length exceeds the limit. */
 	get isTooLarge(): boolean {
 		return Number(this._incoming.headers['content-length'] ?? 0) > this._limits.bodyBytes;
 	}
 
-	/** True if the head tells that a body follows. */
-	get isExpected(): boolean {
+	/** True if the head declares a body. */
+	get isAnnounced(): boolean {
 		const {headers} = this._incoming;
 		return headers['transfer-encoding'] !== undefined || (headers['content-length'] ?? '0') !== '0';
 	}
 
-	/** True while the body is held whole, so that another attempt can send all of it. */
+	/** True if the complete body is buffered, so that another attempt can send it. */
 	get isReplayable(): boolean {
-		return this._isWhole;
+		return this._isComplete;
 	}
 
-	/** What is held: the whole body, or its start. */
-	get kept(): Uint8Array {
+	/** The buffered bytes: the complete body, or its first part. */
+	get buffered(): Uint8Array {
 		return this._chunks.length === 1 ? this._chunks[0]! : Buffer.concat(this._chunks);
 	}
 
-	/** Reads until the end or until the limit; then calls back once. Nothing is called if the caller goes away. */
+	/** Reads up to the end of the body or the buffer limit, then calls `onReady` once. Never calls it if the caller disconnects. */
 	read(onReady: () => void): void {
-		if (!this.isExpected) {
-			this._isWhole = true;
+		if (!this.isAnnounced) {
+			this._isComplete = true;
 			onReady();
 			return;
 		}
@@ -72,7 +72,7 @@
 
 		const onEnd = () => {
 			stop();
-			this._isWhole = true;
+			this._isComplete = true;
 			onReady();
 		};
 
@@ -85,25 +85,25 @@
 		this._incoming.on('end', onEnd);
 	}
 
-	/** The body to send: bytes if whole, else a stream that can be taken once. */
+	/** Returns the body for an attempt: bytes if it is buffered completely, otherwise a stream that can be read only once. */
 	toSend(): Uint8Array | Readable | undefined {
-		if (this._isWhole) {
-			return this._bytes === 0 ? undefined : this.kept;
+		if (this._isComplete) {
+			return this._bytes === 0 ? undefined : this.buffered;
 		}
 
 		return Readable.from(this._stream(), {objectMode: false});
 	}
 
-	/** Lets go of what the caller still sends; the connection can then carry its next call. */
+	/** Discards the rest of the body, so that the connection can be used for the next call. */
 	discard(): void {
 		this._incoming.resume();
 	}
 
 	private async * _stream(): AsyncGenerator<Uint8Array> {
-		yield this.kept;
+		yield this.buffered;
 		this._chunks.length = 0;
-		const rest: AsyncIterable<Uint8Array> = this._incoming;
-		for await (const chunk of rest) {
+		const remaining: AsyncIterable<Uint8Array> = this._incoming;
+		for await (const chunk of remaining) {
 			this._bytes += chunk.length;
 			if (this._bytes > this._limits.bodyBytes) {
 				throw new BodyTooLarge();
--- a/src/node/front/routed-server.ts
+++ b/src/node/front/routed-server.ts
@@ -1,4 +1,4 @@
-/** The callers' listener where calls are told apart by host and path, and go to services as routes say. */
+/** The callers' listener that selects the service of a call by host and path, according to the configured routes. */
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Result} from 'neverthrow';
 import {type CallRequest, type RefusalReason} from '../../common/calls/types.ts';
@@ -22,109 +22,108 @@
 import {type StartingHold} from './starting-hold.ts';
 import {type CallEventSink} from './types.ts';
 
-/** What the listener needs of the rest. */
-export type RoutedServerParts = {
+/** Dependencies of the listener. */
+export type RoutedServerDependencies = {
 	readonly sink: CallEventSink;
 	readonly calls: CallCarrier;
 	readonly connections: BackendConnections;
 	readonly dialect: RoutedDialect;
 	readonly routes: RouteTable;
-	/** 64-bit digest of a call's method, path and body start. */
+	/** Returns a 64-bit digest of a call's method, path and buffered start of the body. */
 	readonly fingerprint: (method: string, path: string, body: Uint8Array) => string;
-	/** Keeps callers that come before the first routes. */
+	/** Delays calls that arrive before the first routes are configured. */
 	readonly hold: StartingHold;
 };
 
-/** Limits that the operators' routes do not set. */
+/** Limits that are not part of the operators' routing configuration. */
 export type RoutedServerLimits = {
-	/** Bodies up to this size are read whole before the call is placed, and can be sent again. */
+	/** Bodies of up to this size are read completely before the call is placed, and can be sent again. */
 	readonly keptBodyBytes: number;
-	/** Most open connections; one more is closed at once. */
+	/** Maximum number of open connections; any further one is closed at once. */
 	readonly connections: number;
-	/** A caller that takes no byte of its answer for this long is taken for gone. */
+	/** Time without progress on a blocked write after which a caller's connection is closed. */
 	readonly stallMilliseconds: Milliseconds;
 };
 
-/** In force until the operators' own are known. */
-const firstLimits: CallerLimits = {
+/** Limits that apply until the operators' configuration is loaded. */
+const initialCallerLimits: CallerLimits = {
 	headBytes: 16_384, bodyBytes: 67_108_864, headMilliseconds: 5000, idleMilliseconds: 15_000,
 };
 
-/** When to come back to a VM that has no configuration yet: it reads one within a moment, others have it now. */
-const notReadyRetry: Milliseconds = 200;
+/** Retry delay for callers of a VM without a configuration: it loads one shortly, and other VMs have one already. */
+const notReadyRetryMilliseconds: Milliseconds = 200;
 
-/** When to come back after a stopping VM has sent a caller away: at once, to another one. */
-const stoppingRetry: Milliseconds = 20;
+/** Retry delay for callers that a stopping VM has refused: almost immediate, since they retry on another VM. */
+const stoppingRetryMilliseconds: Milliseconds = 20;
 
-/** New connections that may wait for this thread: a full queue costs a caller a second, a rush brings hundreds. */
+/** Connections that may wait to be accepted. A full backlog costs a caller one second, and bursts bring hundreds of connections. */
 const listenBacklog = 1024;
 
-/** Longest that the end of the process waits for the last refusals: less than a half of what a bounded stop leaves for its last steps. */
-const longestEnd: Milliseconds = 100;
+/** Maximum wait of the process for the last refusals to be sent: less than half of the time that a bounded stop reserves for its last steps. */
+const maxCloseMilliseconds: Milliseconds = 100;
 
-/** An answer that was cut, as a reader of logs wants it. */
+/** An answer that was cut, with the fields that its log line needs. */
 export type CutCall = Omit<CutAnswer, 'incoming'> & {readonly traceId: string; readonly stage: FleetStage};
 
-/** Where an answer is made without a call. */
-type Early = {readonly status: number; readonly reason: RefusalReason; readonly retryAfterMilliseconds?: Milliseconds};
+/** A refusal that is sent before a call reaches the call engine. */
+type EarlyAnswer = {readonly status: number; readonly reason: RefusalReason; readonly retryAfterMilliseconds?: Milliseconds};
 
-/** From then on a call could not end before the process does. */
-const stagesWithoutCalls = new Set<FleetStage>(['draining', 'refusing', 'ended']);
+/** Stages in which a new call could not complete before the process exits. */
+const refusingStages = new Set<FleetStage>(['draining', 'refusing', 'ended']);
 
-/** What a call gets that comes too late to end before the process does. */
-const stoppingAnswer: Early = {status: 503, reason: 'stopping', retryAfterMilliseconds: stoppingRetry};
+/** Answer to a call that arrives too late to complete before the process exits. */
+const stoppingAnswer: EarlyAnswer = {status: 503, reason: 'stopping', retryAfterMilliseconds: stoppingRetryMilliseconds};
 
-/** Serves callers on one port. */
 export class RoutedServer extends Disposable {
-	private readonly _parts: RoutedServerParts;
+	private readonly _dependencies: RoutedServerDependencies;
 	private readonly _limits: RoutedServerLimits;
 	private readonly _server: GracefulServer;
 	private readonly _onAnswerCut = this._register(new Emitter<CutCall>());
-	private readonly _onTurnedAway = this._register(new Emitter<void>());
-	private _callerLimits = firstLimits;
+	private readonly _onCallRefusedAtStop = this._register(new Emitter<void>());
+	private _callerLimits = initialCallerLimits;
 	private _stage: FleetStage = 'starting';
 	private _hasRoutes = false;
-	private readonly _incomplete = new IncompleteCalls();
+	private readonly _incompleteCalls = new IncompleteCalls();
 	private _lastCallId = 0;
 
-	/** An answer's connection was closed before the system had all of the answer. */
+	/** Fires if a connection is closed before the kernel has accepted all bytes of an answer. */
 	readonly onAnswerCut = this._onAnswerCut.event;
 
-	/** A call was refused because the VM stops. */
-	readonly onTurnedAway = this._onTurnedAway.event;
+	/** Fires if a call is refused because the VM is stopping. */
+	readonly onTurnedAway = this._onCallRefusedAtStop.event;
 
-	constructor(parts: RoutedServerParts, limits: RoutedServerLimits) {
+	constructor(dependencies: RoutedServerDependencies, limits: RoutedServerLimits) {
 		super();
-		this._parts = parts;
+		this._dependencies = dependencies;
 		this._limits = limits;
 		this._server = this._register(new GracefulServer({
-			maxHeaderSize: firstLimits.headBytes,
-			headersTimeout: firstLimits.headMilliseconds,
+			maxHeaderSize: initialCallerLimits.headBytes,
+			headersTimeout: initialCallerLimits.headMilliseconds,
 			requestTimeout: 0,
-			keepAliveTimeout: firstLimits.idleMilliseconds,
+			keepAliveTimeout: initialCallerLimits.idleMilliseconds,
 			noDelay: true,
 		}, (incoming, outgoing) => {
-			this._take(incoming, outgoing);
+			this._handleRequest(incoming, outgoing);
 		}));
 		this._server.maxConnections = limits.connections;
 		this._register(this._server.onCut(({incoming, ...cut}) => {
-			this._onAnswerCut.fire({...cut, traceId: parts.dialect.readRequest(incoming.headers).traceId, stage: this._stage});
+			this._onAnswerCut.fire({...cut, traceId: dependencies.dialect.readRequest(incoming.headers).traceId, stage: this._stage});
 		}));
 	}
 
-	/** Answers that callers do not have yet, as far as this side can know. */
+	/** Answers that the kernel has not completely accepted yet, plus connections that are closing. */
 	get unfinishedAnswers(): number {
 		return this._server.unfinishedAnswers;
 	}
 
-	/** Starts to listen; resolves with the port. */
+	/** Starts listening; resolves with the bound port. */
 	async listen(port: number, address: string, early?: EarlyListener): Promise<Result<number, Failure<'cannot-listen'>>> {
 		return listenOn(this._server, port, address, {backlog: listenBacklog, early});
 	}
 
-	/** Puts routes and limits in force for calls that come from now on. */
+	/** Applies routes and limits to all calls that arrive from now on. */
 	configure({routes, limits}: Routing): void {
-		this._parts.routes.replace(routes);
+		this._dependencies.routes.replace(routes);
 		this._callerLimits = limits;
 		this._server.headersTimeout = limits.headMilliseconds;
 		this._server.keepAliveTimeout = limits.idleMilliseconds;
@@ -132,35 +131,35 @@
 	}
 
 	/**
-	 * The VM's life goes on. From `leaving` on each connection ends after its answer; idle ones stay, since a call that
-	 * crosses their end would be lost. From `draining` on no call is taken, new connections are not accepted, and what is
-	 * idle ends.
+	 * Enters a stage of the VM's life cycle. From `leaving` on, each connection closes after its answer; idle connections stay
+	 * open, because a call that arrives while one closes would be lost. From `draining` on, all calls are refused, no new
+	 * connections are accepted, and idle connections are closed.
 	 */
 	enter(stage: FleetStage): void {
 		this._stage = stage;
 		if (stage === 'leaving' || stage === 'draining') {
-			this._server.leave();
+			this._server.disableKeepAlive();
 		}
 
 		if (stage === 'draining') {
-			this._incomplete.refuseAll();
+			this._incompleteCalls.refuseAll();
 			this._server.stopListening();
 		}
 	}
 
-	/** The process ends: resolves when the last refusals are out, or when the longest time for them is over. */
+	/** Closes the listener; resolves once the last refusals are sent or `maxCloseMilliseconds` has passed. */
 	async end(): Promise<void> {
-		await closeListener(this._server, longestEnd);
-		this._server.breakOff();
+		await closeListener(this._server, maxCloseMilliseconds);
+		this._server.destroyConnections();
 	}
 
-	private _take(incoming: IncomingMessage, outgoing: ServerResponse): void {
-		if (stagesWithoutCalls.has(this._stage)) {
-			this._turnAway(incoming, outgoing);
+	private _handleRequest(incoming: IncomingMessage, outgoing: ServerResponse): void {
+		if (refusingStages.has(this._stage)) {
+			this._refuseStopping(incoming, outgoing);
 			return;
 		}
 
-		this._parts.hold.pass(() => {
+		this._dependencies.hold.pass(() => {
 			if (!outgoing.destroyed) {
 				this._route(incoming, outgoing);
 			}
@@ -169,20 +168,20 @@
 
 	private _route(incoming: IncomingMessage, outgoing: ServerResponse): void {
 		if (!this._hasRoutes) {
-			this._answerEarly(incoming, outgoing, {status: 503, reason: 'not-ready', retryAfterMilliseconds: notReadyRetry});
+			this._answerEarly(incoming, outgoing, {status: 503, reason: 'not-ready', retryAfterMilliseconds: notReadyRetryMilliseconds});
 			return;
 		}
 
-		const routed = this._parts.routes.match(incoming.headers.host ?? '', incoming.url ?? '');
+		const routed = this._dependencies.routes.match(incoming.headers.host ?? '', incoming.url ?? '');
 		if (routed === undefined) {
 			this._answerEarly(incoming, outgoing, {status: 404, reason: 'unknown-service'});
 			return;
 		}
 
-		this._read(incoming, outgoing, routed);
+		this._readBody(incoming, outgoing, routed);
 	}
 
-	private _read(incoming: IncomingMessage, outgoing: ServerResponse, routed: RoutedCall): void {
+	private _readBody(incoming: IncomingMessage, outgoing: ServerResponse, routed: RoutedCall): void {
 		const body = new RequestBody(incoming, {bodyBytes: this._callerLimits.bodyBytes, keptBodyBytes: this._limits.keptBodyBytes});
 		if (body.isTooLarge) {
 			outgoing.setHeader('connection', 'close');
@@ -191,14 +190,14 @@
 		}
 
 		const arrivedAt = performance.now();
-		if (body.isExpected) {
-			this._incomplete.add(outgoing, () => {
-				this._turnAway(incoming, outgoing);
+		if (body.isAnnounced) {
+			this._incompleteCalls.add(outgoing, () => {
+				this._refuseStopping(incoming, outgoing);
 			});
 		}
 
 		body.read(() => {
-			this._incomplete.remove(outgoing);
+			this._incompleteCalls.remove(outgoing);
 			if (outgoing.writableEnded) {
 				body.discard();
 			} else if (!outgoing.destroyed) {
@@ -208,21 +207,21 @@
 	}
 
 	private _admit(incoming: IncomingMessage, outgoing: ServerResponse, {routed, body, arrivedAt}: {routed: RoutedCall; body: RequestBody; arrivedAt: number}): void {
-		const {dialect, sink, connections, calls, fingerprint} = this._parts;
+		const {dialect, sink, connections, calls, fingerprint} = this._dependencies;
 		this._lastCallId += 1;
 		const method = incoming.method!;
 		const path = incoming.url!;
 		const {traceId, timeoutMilliseconds} = dialect.readRequest(incoming.headers);
-		const read = performance.now() - arrivedAt;
+		const readMilliseconds = performance.now() - arrivedAt;
 		const request: CallRequest = {
 			callId: this._lastCallId,
 			service: routed.service,
 			caller: incoming.socket.remoteAddress ?? '',
 			method,
 			path,
-			fingerprint: fingerprint(method, path, body.kept),
-			timeoutMilliseconds: timeoutMilliseconds === undefined ? undefined : Math.max(1, timeoutMilliseconds - read),
-			bodyBytes: body.isReplayable ? body.kept.length : undefined,
+			fingerprint: fingerprint(method, path, body.buffered),
+			timeoutMilliseconds: timeoutMilliseconds === undefined ? undefined : Math.max(1, timeoutMilliseconds - readMilliseconds),
+			bodyBytes: body.isReplayable ? body.buffered.length : undefined,
 			idempotencyKey: undefined,
 			mayRetry: true,
 			rule: routed.route.rule,
@@ -233,14 +232,14 @@
 		calls.admit(call, {type: 'call-arrived', request});
 	}
 
-	private _turnAway(incoming: IncomingMessage, outgoing: ServerResponse): void {
-		this._onTurnedAway.fire();
+	private _refuseStopping(incoming: IncomingMessage, outgoing: ServerResponse): void {
+		this._onCallRefusedAtStop.fire();
 		this._answerEarly(incoming, outgoing, stoppingAnswer);
 	}
 
-	private _answerEarly(incoming: IncomingMessage, outgoing: ServerResponse, {status, reason, retryAfterMilliseconds}: Early): void {
+	private _answerEarly(incoming: IncomingMessage, outgoing: ServerResponse, {status, reason, retryAfterMilliseconds}: EarlyAnswer): void {
 		incoming.resume();
-		const {headers, body} = this._parts.dialect.refusal({
+		const {headers, body} = this._dependencies.dialect.refusal({
 			status, reason, outcome: 'not-run', retryAfterMilliseconds,
 		});
 		outgoing.writeHead(status, {...headers, 'content-length': Buffer.byteLength(body)});
--- a/src/node/front/starting-hold.ts
+++ b/src/node/front/starting-hold.ts
@@ -1,48 +1,48 @@
-/** Keeps those who come to a VM that is just starting for the moment until it can answer. */
+/** Delays requests to a VM that is starting until it can answer them. */
 import {Disposable, toDisposable} from '../../common/lifecycle/disposable.ts';
 import {type Milliseconds} from '../../common/model/units.ts';
 
 /**
- * Longest that anybody is kept. A process reads its configuration within 50 ms of its program's start, on half a core and
- * with a store that answers; a caller that is sent away meanwhile has spent one of its few tries, and comes back later
- * than it would have been served. With a store that is out the wait is in vain, so it stays below the shortest objective.
+ * Maximum delay of a request. With half a core and an available store, a process loads its configuration within 50 ms of its
+ * start. A caller that is refused in this time loses one of its few tries, and its retry is later than a delayed answer. If the
+ * store is unavailable the delay gains nothing, so it is shorter than the shortest latency objective.
  */
-const longestHold: Milliseconds = 200;
+const maxHoldMilliseconds: Milliseconds = 200;
 
 export class StartingHold extends Disposable {
-	private readonly _held = new Set<() => void>();
-	private _isOver = false;
+	private readonly _waiting = new Set<() => void>();
+	private _isOpen = false;
 
 	constructor() {
 		super();
 		this._register(toDisposable(() => {
-			this._held.clear();
+			this._waiting.clear();
 		}));
 	}
 
-	/** Runs the continuation at once, or when the VM is ready, or when the longest hold is over. */
+	/** Runs the continuation once the gate is open, and after `maxHoldMilliseconds` at the latest. */
 	pass(continuation: () => void): void {
-		if (this._isOver) {
+		if (this._isOpen) {
 			continuation();
 			return;
 		}
 
-		const run = () => {
-			if (this._held.delete(run)) {
+		const release = () => {
+			if (this._waiting.delete(release)) {
 				clearTimeout(timer);
 				continuation();
 			}
 		};
 
-		const timer = setTimeout(run, longestHold);
-		this._held.add(run);
+		const timer = setTimeout(release, maxHoldMilliseconds);
+		this._waiting.add(release);
 	}
 
-	/** The VM can answer from now on. */
+	/** Opens the gate: runs all waiting continuations, and later ones without delay. */
 	end(): void {
-		this._isOver = true;
-		for (const run of this._held) {
-			run();
+		this._isOpen = true;
+		for (const release of this._waiting) {
+			release();
 		}
 	}
 }
--- a/src/node/front/stop-moments-table.test.ts
+++ b/src/node/front/stop-moments-table.test.ts
@@ -4,11 +4,11 @@
  * one whole refusal; a refusal that says "not run" is true, also later; a connection ends without an answer only if no call on
  * it was read whole; and after an answer that says `connection: close` its caller waits for no other.
  */
-import {callMoments} from './stop-call-moments.test.ts';
-import {connectionMoments} from './stop-connection-moments.test.ts';
-import {type Moment} from './stop-scene.test.ts';
+import {callStopCases} from './stop-call-moments.test.ts';
+import {connectionStopCases} from './stop-connection-moments.test.ts';
+import {type StopCase} from './stop-scene.test.ts';
 
-export {lastMoments} from './stop-connection-moments.test.ts';
+export {unansweredStopCases as lastMoments} from './stop-connection-moments.test.ts';
 
 /** Moments at each listener. */
-export const moments: readonly Moment[] = [...callMoments, ...connectionMoments];
+export const moments: readonly StopCase[] = [...callStopCases, ...connectionStopCases];
--- a/src/node/front/stop-moments.test.ts
+++ b/src/node/front/stop-moments.test.ts
@@ -4,19 +4,19 @@
 import {type Milliseconds} from '../../common/model/units.ts';
 import {moments} from './stop-moments-table.test.ts';
 import {type Listener, playMoments} from './stop-scene.test.ts';
-import {startFront} from './test-utilities.test.ts';
+import {startFrontend} from './test-utilities.test.ts';
 
 /** Stands for the grace time of a VM, longer than a call may take here: what is not over by then is cut. */
 const graceMilliseconds: Milliseconds = 3000;
 
 /** The callers' listener alone; its planned stop has two steps, which the daemon takes one after the other. */
-async function openSelfLed(owned: DisposableStore, backendPort: number, firstStep: 'closeIdle' | 'stopListening'): Promise<Listener> {
-	const parts = owned.add(new DisposableStore());
-	const {server, ended, url} = await startFront(parts, [backendPort], {stallMilliseconds: 5000});
-	const killing = new AbortController();
+async function startCallerServer(owned: DisposableStore, backendPort: number, firstStep: 'closeIdle' | 'stopListening'): Promise<Listener> {
+	const targetStore = owned.add(new DisposableStore());
+	const {server, ended, url} = await startFrontend(targetStore, [backendPort], {stallMilliseconds: 5000});
+	const killController = new AbortController();
 	const kill = () => {
-		killing.abort();
-		parts.dispose();
+		killController.abort();
+		targetStore.dispose();
 	};
 
 	return {
@@ -25,14 +25,14 @@
 		// One call tries out a backend server that has told nothing of itself.
 		places: 1,
 		endedCalls: () => ended.length,
-		isOver: () => killing.signal.aborted,
+		isOver: () => killController.signal.aborted,
 		async stop() {
 			server[firstStep]();
-			void delay(graceMilliseconds, undefined, {signal: killing.signal}).then(kill, () => undefined);
+			void delay(graceMilliseconds, undefined, {signal: killController.signal}).then(kill, () => undefined);
 		},
 		async finish() {
 			server.stopListening();
-			while (!killing.signal.aborted && await server.countConnections() > 0) {
+			while (!killController.signal.aborted && await server.countConnections() > 0) {
 				await delay(10);
 			}
 
@@ -47,7 +47,7 @@
 
 		const outcomes = new Map<string, Promise<readonly string[]>>();
 		before(() => {
-			playMoments(moments, async (owned, port) => openSelfLed(owned, port, firstStep), outcomes);
+			playMoments(moments, async (owned, port) => startCallerServer(owned, port, firstStep), outcomes);
 		});
 
 		// Guards calls against a planned stop that meets them at a seldom point of their life.
--- a/src/node/front/stop-outcomes.test.ts
+++ b/src/node/front/stop-outcomes.test.ts
@@ -16,7 +16,7 @@
 export const unanswered = ' | ran';
 
 /** The next call on a connection whose first call was answered without a word of the end. */
-export const nextCallAllowed = [
+export const allowedForNextCall = [
 	'200 first; 200 second, close | ran first second',
 	'200 first; 200 second | ran first second',
 	'200 first; 503 refused, close | ran first',
--- a/src/node/front/stop-test-utilities.test.ts
+++ b/src/node/front/stop-test-utilities.test.ts
@@ -4,41 +4,41 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {Disposable, type DisposableStore, toDisposable} from '../../common/lifecycle/disposable.ts';
 import {type Milliseconds} from '../../common/model/units.ts';
-import {answerTo, headEnd, readAnswers} from './answer-reader.test.ts';
-import {startRaw} from './test-utilities.test.ts';
+import {answerBody, headEnd, readAnswers} from './answer-reader.test.ts';
+import {startRawServer} from './test-utilities.test.ts';
 
 /** Pause between two looks at something that tells no event. */
-const lookAgain: Milliseconds = 2;
+const pollMilliseconds: Milliseconds = 2;
 
 /** Waits until it holds. Nothing is asserted on the time; whoever waits is bounded by the end of the VM. */
-export async function holds(condition: () => boolean): Promise<void> {
+export async function waitUntil(condition: () => boolean): Promise<void> {
 	while (!condition()) {
-		await delay(lookAgain);
+		await delay(pollMilliseconds);
 	}
 }
 
 /** Both ends of each connection of this process, so that a test sees when the other end has taken its bytes in. */
-export class ConnectionWatch extends Disposable {
+export class ConnectionTracker extends Disposable {
 	private readonly _sockets = new Set<Socket>();
 
 	constructor() {
 		super();
-		const notice = (message: unknown) => {
+		const onSocketCreated = (message: unknown) => {
 			if (typeof message === 'object' && message !== null && 'socket' in message && message.socket instanceof Socket) {
 				this._sockets.add(message.socket);
 			}
 		};
 
 		for (const channel of ['net.server.socket', 'net.client.socket']) {
-			subscribe(channel, notice);
+			subscribe(channel, onSocketCreated);
 			this._register(toDisposable(() => {
-				unsubscribe(channel, notice);
+				unsubscribe(channel, onSocketCreated);
 			}));
 		}
 	}
 
 	/** The other end of a connection, once it is accepted. */
-	peerOf(socket: Socket): Socket | undefined {
+	findPeer(socket: Socket): Socket | undefined {
 		if (socket.localPort === undefined || socket.remotePort === undefined) {
 			return undefined;
 		}
@@ -47,10 +47,10 @@
 	}
 
 	/** The other end has read all that was written here, or one end has gone. */
-	async takenIn(socket: Socket, known?: Socket): Promise<void> {
-		let peer = known;
-		await holds(() => {
-			peer ??= this.peerOf(socket);
+	async waitUntilRead(socket: Socket, knownPeer?: Socket): Promise<void> {
+		let peer = knownPeer;
+		await waitUntil(() => {
+			peer ??= this.findPeer(socket);
 			return socket.destroyed || (peer !== undefined && (peer.destroyed || peer.bytesRead >= socket.bytesWritten));
 		});
 	}
@@ -61,13 +61,13 @@
 	/** How the connection ended. */
 	end: 'open' | 'closed' | 'reset' | 'refused' = 'open';
 	private readonly _socket: Socket;
-	private readonly _watch: ConnectionWatch;
+	private readonly _tracker: ConnectionTracker;
 	private readonly _received: Buffer[] = [];
 	private _peer: Socket | undefined;
 
-	constructor(port: number, watch: ConnectionWatch) {
+	constructor(port: number, tracker: ConnectionTracker) {
 		super();
-		this._watch = watch;
+		this._tracker = tracker;
 		this._socket = connect({port, host: '127.0.0.1', allowHalfOpen: true});
 		this._register(toDisposable(() => {
 			this._socket.destroy();
@@ -89,9 +89,9 @@
 	}
 
 	/** The connection is open, and the VM knows it. */
-	async opened(): Promise<this> {
-		await holds(() => {
-			this._peer = this._watch.peerOf(this._socket);
+	async waitUntilAccepted(): Promise<this> {
+		await waitUntil(() => {
+			this._peer = this._tracker.findPeer(this._socket);
 			return this.end !== 'open' || this._peer !== undefined;
 		});
 		return this;
@@ -107,24 +107,24 @@
 	}
 
 	/** Writes, and goes on once the VM has taken the bytes in. */
-	async sendIn(bytes: string | Buffer): Promise<void> {
+	async sendAndWaitUntilRead(bytes: string | Buffer): Promise<void> {
 		await this.send(bytes);
-		await this._watch.takenIn(this._socket, this._peer);
+		await this._tracker.waitUntilRead(this._socket, this._peer);
 	}
 
 	/** Waits for so many answers, interim ones included, or for the end of the connection. */
-	async hasAnswers(count: number): Promise<void> {
-		let seen = 0;
-		await holds(() => {
-			const hasUpdate = this._received.length > seen;
-			seen = this._received.length;
+	async waitForAnswers(count: number): Promise<void> {
+		let seenChunks = 0;
+		await waitUntil(() => {
+			const hasUpdate = this._received.length > seenChunks;
+			seenChunks = this._received.length;
 			return this.end !== 'open' || (hasUpdate && this.answers.filter(answer => !answer.includes('cut')).length >= count);
 		});
 	}
 
 	/** Waits until the VM has written something to this caller, which need not have read it. */
-	async isAnswered(): Promise<void> {
-		await holds(() => this.end !== 'open' || this._peer === undefined || this._peer.destroyed || this._peer.bytesWritten > 0);
+	async waitForAnswerBytes(): Promise<void> {
+		await waitUntil(() => this.end !== 'open' || this._peer === undefined || this._peer.destroyed || this._peer.bytesWritten > 0);
 	}
 
 	pause(): void {
@@ -140,18 +140,18 @@
 export class BackendCall {
 	readonly name: string;
 	private readonly _socket: Socket;
-	private readonly _watch: ConnectionWatch;
+	private readonly _tracker: ConnectionTracker;
 
-	constructor(name: string, socket: Socket, watch: ConnectionWatch) {
+	constructor(name: string, socket: Socket, tracker: ConnectionTracker) {
 		this.name = name;
 		this._socket = socket;
-		this._watch = watch;
+		this._tracker = tracker;
 	}
 
 	/** Writes, and goes on once the VM has taken the bytes in. */
 	async write(text: string): Promise<void> {
 		this._socket.write(text);
-		await this._watch.takenIn(this._socket);
+		await this._tracker.waitUntilRead(this._socket);
 	}
 
 	/** Head of an answer in both dialects; by itself it tells no length. */
@@ -160,7 +160,7 @@
 	}
 
 	async answer(bytes = 0, ...headers: string[]): Promise<void> {
-		const body = answerTo(this.name, bytes);
+		const body = answerBody(this.name, bytes);
 		this._socket.write(this.head(`content-length: ${body.length}`, ...headers) + body);
 	}
 
@@ -186,8 +186,8 @@
 	}
 
 	/** Starts to listen on loopback; resolves with the port. */
-	async start(owned: DisposableStore, watch: ConnectionWatch): Promise<number> {
-		return startRaw(owned, socket => {
+	async start(owned: DisposableStore, tracker: ConnectionTracker): Promise<number> {
+		return startRawServer(owned, socket => {
 			this._openConnections++;
 			socket.on('close', () => {
 				this._openConnections--;
@@ -196,7 +196,7 @@
 			socket.on('data', (chunk: Buffer) => {
 				text += chunk.toString('latin1');
 				const path = /^[A-Z]+ (\S+) HTTP\/1\.1\r\n/v.exec(text)?.[1];
-				if (path === undefined || !isWholeRequest(text)) {
+				if (path === undefined || !isCompleteRequest(text)) {
 					return;
 				}
 
@@ -209,20 +209,20 @@
 
 				const name = path.slice(path.lastIndexOf('/') + 1);
 				this.ran.push(name);
-				this._calls.push(new BackendCall(name, socket, watch));
+				this._calls.push(new BackendCall(name, socket, tracker));
 			});
 		});
 	}
 
 	/** The call of this name, once it is here; undefined if `isOver` comes first. */
-	async call(name: string, isOver: () => boolean): Promise<BackendCall | undefined> {
-		await holds(() => isOver() || this._calls.some(call => call.name === name));
+	async call(name: string, hasEnded: () => boolean): Promise<BackendCall | undefined> {
+		await waitUntil(() => hasEnded() || this._calls.some(call => call.name === name));
 		return this._calls.find(call => call.name === name);
 	}
 }
 
 /** Requests come one by one here; a body has a length or chunks. */
-function isWholeRequest(text: string): boolean {
+function isCompleteRequest(text: string): boolean {
 	const end = text.indexOf(headEnd);
 	const length = /\r\ncontent-length: (\d+)/iv.exec(text)?.[1] ?? '0';
 	const isChunked = /\r\ntransfer-encoding: chunked/iv.test(text);
--- a/src/node/front/store-key-claimer.ts
+++ b/src/node/front/store-key-claimer.ts
@@ -1,6 +1,6 @@
 /**
- * Idempotency keys are claimed in the platform's service, so that two VMs that see one key at once, or
- * a VM that took over from a dead one, cannot both run the call.
+ * Claims idempotency keys in the platform's store, so that a call with a given key runs only once even if two VMs receive
+ * the key at the same time, or another VM receives it after the first one has crashed.
  */
 import {type CallEffect, type KeyClaim} from '../../common/calls/types.ts';
 import {type Instant, type Milliseconds} from '../../common/model/units.ts';
@@ -11,15 +11,15 @@
 
 const keyPrefix = 'jaydale/claims/';
 
-/** How long a claim lasts at least: callers must not send a key again later than this. */
+/** Minimum duration of a claim. Callers must not reuse a key after this time. */
 export const claimMilliseconds: Milliseconds = 86_400_000;
 
-/** One lease serves the claims of this long, so that a claim costs one write and not two. */
+/** Time for which a lease is shared by new claims, so that a claim costs one write instead of two. */
 const leaseReuseMilliseconds: Milliseconds = 600_000;
 
 type Lease = {readonly id: string; readonly reuseUntil: Instant};
 
-/** Claims by compare-and-swap against absence. */
+/** A claim is a compare-and-swap that succeeds only if the key does not exist. */
 export class StoreKeyClaimer implements KeyClaimer {
 	private readonly _platform: PlatformClient;
 	private readonly _clock: Clock;
@@ -41,18 +41,18 @@
 	}
 
 	/**
-	 * Frees the key of a call that did not run. The entry is read first, so that only a claim of this VM is
-	 * ever removed; a release that fails leaves the key taken, which refuses a call and runs none.
+	 * Releases the key of a call that did not run. Reads the entry first and deletes it only if it is a claim of this VM. If the
+	 * release fails the key stays claimed, so a later call with the same key is refused and never run twice.
 	 */
 	async release(effect: CallEffect & {type: 'release-key'}): Promise<void> {
-		const key = this._keyOf(effect);
+		const key = this._storeKey(effect);
 		const reply = await this._platform.execute({type: 'get', key});
 		if (reply.type === 'entry' && reply.entry?.value.startsWith(`${this._vmIdentity}/`)) {
 			await this._platform.execute({type: 'delete', key, expected: reply.entry.revision});
 		}
 	}
 
-	private _keyOf(effect: {readonly service: string; readonly key: string}): string {
+	private _storeKey(effect: {readonly service: string; readonly key: string}): string {
 		return `${keyPrefix}${effect.service}/${this._digest(effect.key)}`;
 	}
 
@@ -62,7 +62,7 @@
 			return {type: 'unavailable'};
 		}
 
-		const key = this._keyOf(effect);
+		const key = this._storeKey(effect);
 		const value = `${this._vmIdentity}/${effect.callId}`;
 		const reply = await this._platform.execute({
 			type: 'compare-and-swap', key, expected: 0, value, leaseId: lease.id,
@@ -77,7 +77,7 @@
 			}
 
 			case 'unknown': {
-				return this._resolve(key, value);
+				return this._readBack(key, value);
 			}
 
 			default: {
@@ -87,34 +87,34 @@
 		}
 	}
 
-	/** The answer to the claim was lost: only what stands there now tells whether it took effect. */
-	private async _resolve(key: string, value: string): Promise<KeyClaim> {
+	/** Reads the entry after the reply to a claim was lost, to determine whether the claim took effect. */
+	private async _readBack(key: string, value: string): Promise<KeyClaim> {
 		const reply = await this._platform.execute({type: 'get', key});
 		if (reply.type !== 'entry') {
 			return {type: 'unavailable'};
 		}
 
 		if (reply.entry === undefined) {
-			// The write may still be on its way: it must not find the call run under another claim.
+			// The write may still be in transit and take effect later, so the call must not run under another claim meanwhile.
 			return {type: 'unavailable'};
 		}
 
 		return reply.entry.value === value ? {type: 'granted'} : {type: 'taken'};
 	}
 
-	/** Calls that come while a lease is being granted wait for the same one. */
+	/** Returns a lease for a new claim. Concurrent claims wait for the same lease while it is being granted. */
 	private async _usableLease(): Promise<Lease | undefined> {
-		this._lease ??= this._grant();
+		this._lease ??= this._grantLease();
 		const lease = await this._lease;
 		if (lease !== undefined && lease.reuseUntil > this._clock.now()) {
 			return lease;
 		}
 
-		this._lease = this._grant();
+		this._lease = this._grantLease();
 		return this._lease;
 	}
 
-	private async _grant(): Promise<Lease | undefined> {
+	private async _grantLease(): Promise<Lease | undefined> {
 		const reuseUntil = this._clock.now() + leaseReuseMilliseconds;
 		const reply = await this._platform.execute({type: 'grant-lease', milliseconds: claimMilliseconds + leaseReuseMilliseconds});
 		return reply.type === 'lease' ? {id: reply.leaseId, reuseUntil} : undefined;
--- a/src/node/front/test-utilities.test.ts
+++ b/src/node/front/test-utilities.test.ts
@@ -19,16 +19,16 @@
 };
 
 /** No service of these tests asks for keys. */
-const noKeys = {claim: () => undefined, release: async () => undefined};
+const unusedKeyClaimer = {claim: () => undefined, release: async () => undefined};
 
-export type Front = {readonly url: string; readonly ended: CallSummary[]; readonly server: CallerServer};
+export type Frontend = {readonly url: string; readonly ended: CallSummary[]; readonly server: CallerServer};
 
 /** The callers' listener with a real engine in front of the given ports. */
-export async function startFront(store: DisposableStore, ports: readonly number[], ownLimits: Partial<CallerServerLimits> = {}): Promise<Front> {
+export async function startFrontend(store: DisposableStore, ports: readonly number[], limitOverrides: Partial<CallerServerLimits> = {}): Promise<Frontend> {
 	const connections = store.add(new BackendConnections({connectMilliseconds: 1000, idleMilliseconds: 5000}));
 	const engine = new DefaultCallEngine({random: seededRandom(1), settings: {dataCentre: 'north'}});
 	const loop = store.add(new DeciderLoop(engine, new ProcessClock()));
-	const calls = store.add(new CallCarrier(loop, new LoadMeasurer(connections, new JaydaleDialect()), noKeys));
+	const calls = store.add(new CallCarrier(loop, new LoadMeasurer(connections, new JaydaleDialect()), unusedKeyClaimer));
 	loop.setCarrier(effect => {
 		if (effect.type !== 'tell-peers') {
 			calls.carryOut(effect);
@@ -40,7 +40,7 @@
 		connections,
 		addresses: () => undefined,
 		fingerprint: (method, path) => `${method} ${path}`,
-	}, {...limits, ...ownLimits}));
+	}, {...limits, ...limitOverrides}));
 	const ended: CallSummary[] = [];
 	store.add(calls.onCallEnded(({summary}) => ended.push(summary)));
 	const service = serviceSchema.parse({
@@ -63,12 +63,12 @@
 }
 
 export async function startBackend(backend: BackendServerStandIn): Promise<number> {
-	const started = await backend.start();
-	return started._unsafeUnwrap();
+	const result = await backend.start();
+	return result._unsafeUnwrap();
 }
 
 /** A backend server of raw bytes: does what no well-behaved one does. */
-export async function startRaw(store: DisposableStore, onSocket: (socket: Socket) => void): Promise<number> {
+export async function startRawServer(store: DisposableStore, onSocket: (socket: Socket) => void): Promise<number> {
 	const server: Server = createServer(socket => {
 		socket.on('error', () => undefined);
 		onSocket(socket);
--- a/src/node/front/unframed-answer.test.ts
+++ b/src/node/front/unframed-answer.test.ts
@@ -3,13 +3,13 @@
 import {DisposableStore} from '../../common/lifecycle/disposable.ts';
 import {BackendAttempt} from './backend-attempt.ts';
 import {BackendConnections} from './backend-connections.ts';
-import {startFront, startRaw} from './test-utilities.test.ts';
+import {startFrontend, startRawServer} from './test-utilities.test.ts';
 import {type AttemptListener} from './types.ts';
 
 /** What becomes of one attempt against a backend server that answers so. */
-async function outcomeOf(answer: (socket: Socket) => void, onData = () => true): Promise<string> {
+async function attemptOutcome(answer: (socket: Socket) => void, onData = () => true): Promise<string> {
 	const store = new DisposableStore();
-	const port = await startRaw(store, socket => {
+	const port = await startRawServer(store, socket => {
 		socket.once('data', () => {
 			answer(socket);
 		});
@@ -37,7 +37,7 @@
 
 describe('an answer without a length', () => {
 	it('is whole when its connection ends', async () => {
-		const outcome = await outcomeOf(socket => {
+		const outcome = await attemptOutcome(socket => {
 			socket.end('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it');
 		});
 		expect(outcome).toEqual('whole');
@@ -45,7 +45,7 @@
 
 	// Guards callers against a reset that looks like the end of an answer without a length.
 	it('has failed when its connection is reset', async () => {
-		const outcome = await outcomeOf(socket => {
+		const outcome = await attemptOutcome(socket => {
 			socket.write('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf', () => {
 				setTimeout(() => {
 					socket.resetAndDestroy();
@@ -57,7 +57,7 @@
 
 	// Guards against the same where the backend server did not announce that it closes.
 	it('has failed when its connection is reset, also without the word that it closes', async () => {
-		const outcome = await outcomeOf(socket => {
+		const outcome = await attemptOutcome(socket => {
 			socket.write('HTTP/1.1 200 OK\r\n\r\nhalf', () => {
 				setTimeout(() => {
 					socket.resetAndDestroy();
@@ -72,7 +72,7 @@
 	// Guards the process against an assertion of the library when a paused answer ends with its connection.
 	for (const head of ['Connection: close', 'Connection: close\r\nContent-Length: 3', 'X: y']) {
 		it(`ends well when its connection does (${head.replaceAll('\r\n', ', ')})`, async () => {
-			const outcome = await outcomeOf(socket => {
+			const outcome = await attemptOutcome(socket => {
 				socket.end(`HTTP/1.1 200 OK\r\n${head}\r\n\r\nabc`);
 			}, () => false);
 			expect(outcome).toEqual('whole');
@@ -84,12 +84,12 @@
 	// Guards callers against half an answer that gets a length here and looks whole.
 	it('is answered without a length too', async () => {
 		const store = new DisposableStore();
-		const port = await startRaw(store, socket => {
+		const port = await startRawServer(store, socket => {
 			socket.once('data', () => {
 				socket.end('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf');
 			});
 		});
-		const front = await startFront(store, [port]);
+		const front = await startFrontend(store, [port]);
 		const answer = await rawAnswer(new URL(front.url).port, `${new URL(front.url).pathname}/a`);
 		store.dispose();
 		expect(answer.toLowerCase().includes('content-length')).toEqual(false);
--- a/src/proof/guards/guards.ts
+++ b/src/proof/guards/guards.ts
@@ -275,7 +275,7 @@
 	{
 		name: 'the end of a process waits for pages and operators',
 		file: 'src/node/front/close-listener.ts',
-		text: 'setTimeout(resolve, longest)',
+		text: 'setTimeout(resolve, maxMilliseconds)',
 		replacement: 'setTimeout(resolve, 0)',
 		tests: ['src/node/front/page-server.test.ts', 'src/node/api/operator-server.test.ts'],
 	},
