--- a/src/node/front/answer-at-stop.test.ts
+++ b/src/node/front/answer-at-stop.test.ts
@@ -4,13 +4,13 @@
 import {DisposableStore, toDisposable} from '../../common/lifecycle/disposable.ts';
 import {startFrontend, startRawServer} from './test-utilities.test.ts';
 
-/** More than the system takes in for a caller that does not read, so that the rest waits in the process. */
+/** More than the kernel buffers for a caller that does not read, so that the rest stays in the process. */
 const answerBytes = 16_000_000;
 
-describe('the callers\' listener of a VM that stops', () => {
+describe('CallerServer during a planned stop', () => {
 	for (const step of ['closeIdle', 'stopListening'] as const) {
-		// Guards a download that its caller reads slowly against the end of idle connections.
-		it(`hands an answer that is in whole over to its caller: ${step}`, async () => {
+		// Closing idle connections must not truncate a download that its caller reads slowly.
+		it(`delivers an answer that was received completely before the stop: ${step}`, async () => {
 			const store = new DisposableStore();
 			const port = await startRawServer(store, socket => {
 				socket.on('data', () => {
@@ -44,8 +44,8 @@
 	}
 });
 
-describe('an answer that is in whole', () => {
-	/** A caller of a listener that has all of a large answer; the caller has read nothing of it. */
+describe('an answer that has been received completely', () => {
+	/** Starts a call whose large answer the listener has received completely; its caller has read none of it. */
 	async function startUnreadAnswer(store: DisposableStore, limitOverrides: {readonly stallMilliseconds: number; readonly handOverMilliseconds: number}) {
 		const port = await startRawServer(store, socket => {
 			socket.on('data', () => {
@@ -66,8 +66,8 @@
 		return {caller, server};
 	}
 
-	// Guards planned stops and memory against a caller that takes nothing of its answer.
-	it('is given up when its caller takes nothing of it for long', async () => {
+	// A caller that never reads its answer must neither delay a planned stop nor hold memory forever.
+	it('is dropped if its caller reads nothing within completeAnswerStallMilliseconds', async () => {
 		const store = new DisposableStore();
 		const {server} = await startUnreadAnswer(store, {stallMilliseconds: 100, handOverMilliseconds: 300});
 		const unfinished = server.unfinishedAnswers;
@@ -79,8 +79,8 @@
 		store.dispose();
 	});
 
-	// Guards a slow reader of a whole answer against the time-out that is meant for answers still coming in.
-	it('outlasts the time after which one that still comes in is given up', async () => {
+	// The shorter stall timeout applies only while the backend server is still sending the answer.
+	it('is not dropped after the shorter stallMilliseconds', async () => {
 		const store = new DisposableStore();
 		const {caller} = await startUnreadAnswer(store, {stallMilliseconds: 100, handOverMilliseconds: 20_000});
 		await delay(800);
--- a/src/node/front/answer-reader.test.ts
+++ b/src/node/front/answer-reader.test.ts
@@ -1,12 +1,12 @@
-/** A strict reader of HTTP answers for tests: what a caller that believes nothing would make of the bytes. */
+/** A strict parser for HTTP answers in tests; it reports every deviation from the expected framing. */
 
 type Head = {readonly status: number; readonly headers: ReadonlyMap<string, string>};
 type Body = {readonly text: string; readonly length: number; readonly isWhole: boolean};
 
-/** Ends the head of a message. */
+/** Terminates the head of a message. */
 export const headEnd = '\r\n\r\n';
 
-/** RFC 9112: one header a name is enough for all that is sent here, so that a second one is a fault. */
+/** Parses a head (RFC 9112) or returns a description of the error. Tests send no header twice, so a duplicate is an error. */
 function readHead(text: string): Head | string {
 	const [statusLine = '', ...lines] = text.split('\r\n');
 	const status = /^HTTP\/1\.1 (\d{3}) [\t\u0020-~]*$/v.exec(statusLine)?.[1];
@@ -14,17 +14,17 @@
 	for (const line of lines) {
 		const [, name, value] = /^([\w!#$%\u0026'*+.\u005E`\|~\-]+):[\t ]*(.*)$/v.exec(line) ?? [];
 		if (name === undefined || value === undefined || headers.has(name.toLowerCase())) {
-			return `no header: ${line}`;
+			return `invalid or duplicate header: ${line}`;
 		}
 
 		headers.set(name.toLowerCase(), value.trim().toLowerCase());
 	}
 
 	if (headers.has('content-length') && headers.has('transfer-encoding')) {
-		return 'two lengths';
+		return 'both content-length and transfer-encoding';
 	}
 
-	return status === undefined ? `no status line: ${statusLine}` : {status: Number(status), headers};
+	return status === undefined ? `invalid status line: ${statusLine}` : {status: Number(status), headers};
 }
 
 function readChunks(bytes: Buffer): Body {
@@ -62,12 +62,12 @@
 	return {text: bytes.subarray(0, end).toString('latin1'), length: Math.min(end, bytes.length), isWhole: bytes.length >= end};
 }
 
-/** The answer of the stand-in to a call; its last byte tells that it is whole even where no length does. */
+/** Returns the body of the answer to a call. Its last byte marks it as complete, also in a close-delimited answer. */
 export function answerBody(name: string, bytes = 0): string {
 	return `answer to ${name}:${'a'.repeat(bytes)}.`;
 }
 
-/** One answer in words: its status, the call that it answers or `refused`, and what is wrong with it. */
+/** Describes an answer: its status, the name of the answered call or `refused`, and any error in it. */
 function describeAnswer(head: Head, {text, isWhole}: Body): string {
 	const {status, headers} = head;
 	if (status < 200) {
@@ -81,14 +81,14 @@
 }
 
 /**
- * All that came on a connection, answer by answer. What follows an answer that says `connection: close` counts as a fault:
- * its caller reads no further (RFC 9112, 9.6).
+ * Describes each answer in the bytes received on a connection. Bytes after an answer with `connection: close` are an error,
+ * because a caller reads no further (RFC 9112, 9.6).
  */
 export function readAnswers(bytes: Buffer): string[] {
 	const answers: string[] = [];
 	for (let position = 0; position < bytes.length;) {
 		const end = bytes.indexOf(headEnd, position);
-		const head = end === -1 ? 'a head cut' : readHead(bytes.subarray(position, end).toString('latin1'));
+		const head = end === -1 ? 'head is cut off' : readHead(bytes.subarray(position, end).toString('latin1'));
 		if (typeof head === 'string' || answers.at(-1)?.endsWith(', close')) {
 			return [...answers, `garbage: ${typeof head === 'string' ? head : head.status}`];
 		}
--- a/src/node/front/back-pressure.test.ts
+++ b/src/node/front/back-pressure.test.ts
@@ -5,15 +5,15 @@
 import {startFrontend, startRawServer} from './test-utilities.test.ts';
 
 const bodyBytes = 200_000_000;
-/** What sockets of both hops may hold on Linux at most, with room: far less than the film. */
+/** Upper bound for the bytes in the socket buffers of both hops on Linux, with a margin; far less than the body. */
 const maxBufferedBytes = 64_000_000;
-/** Longer than the test: who takes nothing is waited for here. */
+/** Longer than the test, so that no stall timeout fires. */
 const longStallMilliseconds = 60_000;
 const chunk = Buffer.alloc(65_536, 'f');
 const requiredStablePolls = 25;
 const pollMilliseconds = 20;
 
-/** Writes the film as fast as the socket takes it; `sent` tells how much has left this process. */
+/** Writes the body as fast as the socket accepts it; `sent` returns the number of bytes that have left this process. */
 function writeBody(socket: Socket): {sent: () => number} {
 	let written = 0;
 	const writeMore = (): void => {
@@ -31,7 +31,7 @@
 	return {sent: () => written - socket.writableLength};
 }
 
-/** Waits until a number no longer grows. */
+/** Resolves with the value once it has stopped changing. */
 async function waitUntilStable(read: () => number): Promise<number> {
 	let last = -1;
 	for (let stablePolls = 0; stablePolls < requiredStablePolls; stablePolls++) {
@@ -50,7 +50,7 @@
 	});
 }
 
-/** Reads on until as many bytes have come as are wanted. */
+/** Resumes reading; resolves with the number of received bytes once it reaches `expected`. */
 async function countBytes(socket: Socket, expected: number): Promise<number> {
 	let received = 0;
 	return new Promise(resolve => {
@@ -74,7 +74,7 @@
 	return {socket, path: pathname};
 }
 
-describe('back pressure', () => {
+describe('backpressure', () => {
 	let store: DisposableStore;
 
 	beforeEach(() => {
@@ -85,9 +85,9 @@
 		store.dispose();
 	});
 
-	// A judge's slow line takes a film for an hour. The backend server sends as fast as it can, the VM keeps
-	// what the line has not taken, and a few such downloads end the process with everybody else's calls.
-	it('holds a backend server back while its caller takes nothing, and passes the rest on later', async () => {
+	// Without backpressure a VM buffers all that a fast backend server sends to a slow caller; a few large downloads then exhaust
+	// its memory and end the process with all other calls.
+	it('stops reading from the backend server while the caller does not read, and delivers the rest later', async () => {
 		let upload: {sent: () => number} | undefined;
 		const port = await startRawServer(store, socket => {
 			socket.once('data', () => {
@@ -105,8 +105,8 @@
 		expect(await countBytes(socket, rest)).toEqual(rest);
 	});
 
-	// The same the other way: footage is sent in to a backend server that takes it slowly.
-	it('holds a caller back while the backend server takes nothing', async () => {
+	// The same for an upload to a backend server that reads slowly.
+	it('stops reading from the caller while the backend server does not read', async () => {
 		let backend: Socket | undefined;
 		let received = 0;
 		const port = await startRawServer(store, socket => {
--- a/src/node/front/caller-server.test.ts
+++ b/src/node/front/caller-server.test.ts
@@ -25,7 +25,7 @@
 		store.dispose();
 	});
 
-	it('hands a whole answer on and says that the call ran', async function () {
+	it('forwards a complete answer and reports the outcome "ran"', async function () {
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
 		const front = await startFrontend(store, [port]);
@@ -34,10 +34,10 @@
 	});
 
 	/*
-	 * A map arrives without its end because the VM stopped. Order: the last bytes have come from the backend
-	 * server, the caller reads slowly, the VM counts no call in flight and ends. Cause: counting calls, not answers.
+	 * A VM that counts calls in flight instead of unfinished answers would stop too early: the backend server has sent its last
+	 * bytes, no call is in flight any more, but a slow caller has not read its answer yet and would receive a truncated one.
 	 */
-	it('counts an answer until its caller has taken it', async () => {
+	it('counts an answer as unfinished until its caller has read it', async () => {
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
 		const front = await startFrontend(store, [port]);
@@ -53,10 +53,10 @@
 	});
 
 	/*
-	 * A landing crew's map stops in the middle and looks whole. Order: the head and half the body are passed on,
-	 * then the backend server dies. Cause: an answer without a visible end. The caller must see a broken body.
+	 * The backend server crashes after the head and half of the body were forwarded. The caller must be able to detect that the
+	 * body is truncated.
 	 */
-	it('breaks a half answer off visibly', async () => {
+	it('aborts a truncated answer so that the caller detects it', async () => {
 		const port = await startRawServer(store, socket => {
 			socket.once('data', () => {
 				socket.write('HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n');
@@ -70,10 +70,10 @@
 	});
 
 	/*
-	 * A member pays dues twice. Order: the payment is sent, the backend server reads it and cuts the connection
-	 * without an answer; a second backend server stands ready. Cause: a reset taken for "not run".
+	 * The backend server reads a payment and closes the connection without an answer, while a second backend server is available.
+	 * A reset does not prove that the call has not run, so a retry could execute the payment twice.
 	 */
-	it('never sends a payment again after a reset, and says that the outcome is unknown', async () => {
+	it('does not retry a payment after a reset, and reports the outcome as unknown', async () => {
 		let received = 0;
 		const rawHandler = (socket: Socket) => {
 			socket.once('data', () => {
@@ -90,24 +90,23 @@
 	});
 
 	/*
-	 * A judge's footage is joined from two halves that do not fit. Order: the first backend server dies in the middle,
-	 * the second answers the range with the right version but from another byte. Cause: trusting status and version
-	 * alone. The answer must break off.
+	 * The first backend server crashes in the middle of a download, and the second one answers the range request with the right
+	 * version but from another offset. Checking only the status and the version would join two halves that do not match, so the
+	 * answer must be aborted.
 	 */
-	it('breaks a resumed download off that goes on at another byte', async () => {
+	it('aborts a resumed download that continues at another byte', async () => {
 		expect(await downloadInTwoHalves(store, 'bytes 3-9/10')).toEqual('BROKEN OFF');
 	});
 
-	it('joins a resumed download that goes on at the byte asked for', async () => {
+	it('joins a resumed download that continues at the requested byte', async () => {
 		expect(await downloadInTwoHalves(store, 'bytes 5-9/10')).toEqual('helloworld');
 	});
 
 	/*
-	 * A crew uploads a large report; its backend server dies in the middle. Order: more of the body than is kept has
-	 * been sent, the connection is reset, the caller still sends. Cause: the caller's connection was ended together
-	 * with the attempt. The caller must be told that the outcome is unknown.
+	 * The backend server resets the connection during an upload larger than the body buffer, while the caller is still sending.
+	 * If the caller's connection were closed together with the attempt, the caller would not learn that the outcome is unknown.
 	 */
-	it('gives the final answer when a large upload is cut off below', async () => {
+	it('sends the final answer when the backend server resets a large upload', async () => {
 		const port = await startRawServer(store, socket => {
 			let bytes = 0;
 			socket.on('data', chunk => {
@@ -123,10 +122,10 @@
 	});
 
 	/*
-	 * A caller sends more than is allowed without saying so in its head. Order: the body streams to a backend server, the
-	 * limit is passed, the attempt is given up. Cause: ending the caller's connection with it. The caller must be told.
+	 * A body without a content length exceeds the limit while it streams to a backend server, and the attempt is aborted. If the
+	 * caller's connection were closed together with the attempt, the caller would receive no answer.
 	 */
-	it('gives the final answer when a body without a length passes the limit', async () => {
+	it('sends the final answer when a body without a content length exceeds the limit', async () => {
 		const port = await startRawServer(store, socket => {
 			socket.resume();
 		});
@@ -136,10 +135,10 @@
 	});
 
 	/*
-	 * A backend server runs out of slots although nobody reads. Order: a caller begins a download, its connection goes
-	 * silent without an end, the download waits for it. Cause: waiting without limit for a caller that has gone.
+	 * The caller's connection goes silent without closing during a download. Without a stall timeout the download would hold a
+	 * slot of the backend server forever.
 	 */
-	it('gives a download up whose caller takes no byte any more', async () => {
+	it('aborts a download whose caller has stopped reading', async () => {
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
 		const front = await startFrontend(store, [port]);
@@ -158,10 +157,10 @@
 	});
 
 	/*
-	 * A festival registration is refused although a backend server was free. Order: the chosen one refuses the
-	 * connection, so nothing ran. Cause: giving up on a failure that proves it is safe to go elsewhere.
+	 * A refused connection proves that nothing ran, so the call must be retried on another backend server instead of being
+	 * refused while one is free.
 	 */
-	it('sends a call elsewhere, body and all, when the connection was refused', async () => {
+	it('retries a call with its body on another backend server when the connection was refused', async () => {
 		const closedPort = await startRawServer(store, () => undefined);
 		store.dispose();
 		store = new DisposableStore();
@@ -179,10 +178,10 @@
 	});
 
 	/*
-	 * An attacker smuggles a second call behind one whose length can be read in two ways. Both readings are in
-	 * the head; the answer is 400 and no backend server sees anything. Cause: guessing which length is meant.
+	 * Request smuggling: a head with both a content length and chunked encoding allows two interpretations, of which one contains
+	 * a second request. The answer must be 400, and no backend server may receive anything.
 	 */
-	it('refuses bad input and runs nothing', async function () {
+	it('refuses invalid input without running a call', async function () {
 		const backend = store.add(new BackendServerStandIn());
 		const port = await startBackend(backend);
 		const front = await startFrontend(store, [port]);
@@ -198,7 +197,7 @@
 	});
 });
 
-/** Both backend servers give half of a download and die; asked for the other half, they give this range. */
+/** Both backend servers crash after half of a download, and answer a range request for the other half with this content range. */
 async function downloadInTwoHalves(store: DisposableStore, contentRange: string): Promise<string> {
 	const answer = (socket: Socket) => {
 		socket.on('data', chunk => {
--- a/src/node/front/closing-pools.test.ts
+++ b/src/node/front/closing-pools.test.ts
@@ -7,19 +7,19 @@
 
 const answerBytes = 8_000_000;
 
-describe('connections that are given up while calls take them', () => {
+describe('a connection pool that is closed while calls use it', () => {
 	const closeReasons: ReadonlyArray<readonly [string, (connections: BackendConnections, target: {readonly identity: string; readonly address: string; readonly port: number}) => void]> = [
-		['its backend server is no longer declared', connections => {
+		['its backend server is no longer configured', connections => {
 			connections.retain(new Set());
 		}],
-		['another process has its identity', (connections, target) => {
+		['another process has the same identity', (connections, target) => {
 			connections.pool({...target, processStartedAt: 2});
 		}],
 	];
 	for (const [reason, closePool] of closeReasons) {
 		for (const delayMilliseconds of [0, 100]) {
-			// Guards calls against the close of a pool that has just taken them.
-			it(`carry what they have taken to its end: ${reason}, ${delayMilliseconds} ms after the call`, async () => {
+			// Closing a pool must not fail calls that were dispatched to it just before.
+			it(`completes the calls already dispatched: ${reason}, ${delayMilliseconds} ms after the call`, async () => {
 				const store = new DisposableStore();
 				const port = await startRawServer(store, socket => {
 					socket.on('data', () => {
--- a/src/node/front/graceful-server.test.ts
+++ b/src/node/front/graceful-server.test.ts
@@ -7,7 +7,7 @@
 	connectTo, getCall, largeBytes, startTestListener, postHead, readAll, parseStatuses,
 } from './open-listener.test.ts';
 
-describe('a listener that ends its connections', () => {
+describe('GracefulServer', () => {
 	let store: DisposableStore;
 	beforeEach(() => {
 		store = new DisposableStore();
@@ -16,8 +16,8 @@
 		store.dispose();
 	});
 
-	// Guards pipelined calls against a connection that ends with the answer before theirs.
-	it('answers a call that was sent behind another before it ends the connection', async () => {
+	// A pipelined call must not be lost because the connection closes after the answer before it.
+	it('answers a pipelined call before it closes the connection', async () => {
 		const answers: ServerResponse[] = [];
 		const {server, caller, handledPaths} = await startTestListener(store, (_path, outgoing) => {
 			answers.push(outgoing);
@@ -41,7 +41,7 @@
 		expect([handledPaths, parseStatuses(text), text.split(/connection: close/iv).length - 1]).toEqual([['/1', '/2'], ['200', '200'], 1]);
 	});
 
-	it('never takes a call that comes behind the answer which ends its connection', async () => {
+	it('never handles a call that arrives after an answer with connection: close', async () => {
 		const {server, caller, handledPaths} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.writeHead(200, {'content-length': 5});
 			outgoing.write('fi');
@@ -55,8 +55,8 @@
 		expect([handledPaths, text.endsWith('first')]).toEqual([['/1'], true]);
 	});
 
-	// Guards a refusal against being discarded by a reset while its caller still sends.
-	it('lets a refusal arrive while its caller still sends', async () => {
+	// Closing a socket with unread bytes resets the connection, which would discard the refusal.
+	it('delivers a refusal while its caller is still sending', async () => {
 		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.writeHead(503, {'content-length': 2});
 			outgoing.end('no');
@@ -72,7 +72,7 @@
 		expect(text.startsWith('HTTP/1.1 503')).toEqual(true);
 	});
 
-	it('ends idle connections, and neither those with half a call in nor those with an answer to hand over', async () => {
+	it('closes idle connections, but none with a partial request or an incomplete answer', async () => {
 		const {server, caller: slow, cutAnswers} = await startTestListener(store, (path, outgoing) => {
 			outgoing.end(path === '/idle' ? 'x' : Buffer.alloc(largeBytes));
 		});
@@ -91,7 +91,7 @@
 		expect([slowText.length > largeBytes, halfText.length > largeBytes, cutAnswers]).toEqual([true, true, []]);
 	});
 
-	it('tells of an answer that its caller leaves, and of one that is broken off here', async () => {
+	it('reports an answer cut by its caller, and one cut by this side', async () => {
 		const answers: ServerResponse[] = [];
 		const {caller, cutAnswers, server} = await startTestListener(store, (_path, outgoing) => {
 			answers.push(outgoing);
@@ -124,7 +124,7 @@
 		]);
 	});
 
-	it('waits with its end for a caller that reads a refusal only when its body is out', async () => {
+	it('keeps the connection open for a caller that reads a refusal only after it has sent its body', async () => {
 		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.writeHead(503, {'content-length': 2});
 			outgoing.end('no');
@@ -140,7 +140,7 @@
 		expect(parseStatuses(await readAll(caller))).toEqual(['503']);
 	});
 
-	it('counts an end that its caller has not confirmed, and gives it up in the end', async () => {
+	it('counts a half-closed connection as unfinished until the linger time is over', async () => {
 		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.end('x');
 		}, {allowHalfOpen: true});
@@ -155,7 +155,7 @@
 		expect(counted).toEqual(1);
 	});
 
-	it('ends a connection that comes to rest after idle ones have ended', async () => {
+	it('closes a connection that becomes idle after closeIdleConnections', async () => {
 		const answers: ServerResponse[] = [];
 		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.writeHead(200, {'content-length': 2});
@@ -172,7 +172,7 @@
 		expect(text.endsWith('ab')).toEqual(true);
 	});
 
-	it('never takes a call that crosses the end of its idle connection', async () => {
+	it('never handles a call that arrives after its idle connection was half-closed', async () => {
 		const {server, caller, handledPaths} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.end('x');
 		}, {allowHalfOpen: true});
@@ -186,8 +186,8 @@
 		expect(handledPaths).toEqual(['/1']);
 	});
 
-	// Guards the first call of a new connection against the end of idle connections.
-	it('leaves a connection open that waits for its first call', async () => {
+	// The first call of a new connection may be in transit when idle connections are closed.
+	it('does not close a connection that has not carried a call yet', async () => {
 		const {server, caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.end('x');
 		});
--- a/src/node/front/idle-at-stop.test.ts
+++ b/src/node/front/idle-at-stop.test.ts
@@ -7,13 +7,13 @@
 
 const call = 'GET / HTTP/1.1\r\nhost: one.example\r\n\r\n';
 
-describe('a listener that ends idle connections', () => {
+describe('GracefulServer.closeIdleConnections', () => {
 	const owned = new DisposableStore();
 	after(() => {
 		owned.dispose();
 	});
 
-	/** A connection that the listener has accepted, after so many calls and their answers. */
+	/** Opens a connection to a new server and completes this many calls on it. */
 	async function openConnection(calls: number): Promise<{server: GracefulServer; caller: Socket; read: () => string}> {
 		const server = owned.add(new GracefulServer({}, (_incoming, outgoing) => {
 			outgoing.end('answer');
@@ -40,9 +40,9 @@
 		return {server, caller, read: () => text};
 	}
 
-	// Guards a call that is in the system's buffer against the end of idle connections.
+	// A call that is still in the kernel's receive buffer must not be lost when idle connections are closed.
 	for (const [calls, which] of [[0, 'the first call'], [1, 'the next call']] as const) {
-		it(`answers ${which} of a connection that was in before the end`, async () => {
+		it(`answers ${which} of a connection if it was sent before the close`, async () => {
 			const {server, caller, read} = await openConnection(calls);
 			server.disableKeepAlive();
 			caller.write(call);
@@ -52,8 +52,8 @@
 		});
 	}
 
-	// Guards the first call of a connection that is accepted while idle ones end.
-	it('answers the first call of a connection that it accepts while it ends idle ones', async () => {
+	// A connection that is accepted while idle ones are closed must not lose its first call.
+	it('answers the first call of a connection that is accepted while idle ones are closed', async () => {
 		const {server} = await openConnection(0);
 		// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- a server on a port has such an address.
 		const {port} = server.address() as AddressInfo;
--- a/src/node/front/late-start.test.ts
+++ b/src/node/front/late-start.test.ts
@@ -5,11 +5,11 @@
 import {BackendAttempt} from './backend-attempt.ts';
 import {BackendConnections} from './backend-connections.ts';
 
-describe('an attempt whose connection opens too late', () => {
-	it('sends nothing and says so', async () => {
-		// A VM is stopped for six seconds while it opens a connection. Meanwhile the backend server begins to
-		// leave. When the VM goes on, the connection is there, and the call would go out by a decision made
-		// before the pause: the leaving backend server would get new work.
+describe('an attempt whose connection opens after the start timeout', () => {
+	it('sends nothing and fails with "not-sent"', async () => {
+		// A VM is suspended for six seconds while it opens a connection, and the backend server begins to shut down in this time.
+		// When the VM resumes, the connection is open. Without the start timeout the VM would send the call by a decision made
+		// before the suspension, and the backend server would receive new work while it shuts down.
 		const store = new DisposableStore();
 		const received: string[] = [];
 		const server = createServer(socket => {
--- a/src/node/front/open-listener.test.ts
+++ b/src/node/front/open-listener.test.ts
@@ -1,33 +1,33 @@
-/** What tests of a bare listener share: an open one, callers of raw bytes, and calls as they send them. */
+/** Helpers for tests of GracefulServer: a started server, callers on raw sockets, and raw requests. */
 import {once} from 'node:events';
 import {type ServerOptions, type ServerResponse} from 'node:http';
 import {type AddressInfo, connect, type Socket} from 'node:net';
 import {type DisposableStore, toDisposable} from '../../common/lifecycle/disposable.ts';
 import {type CutAnswer, GracefulServer} from './graceful-server.ts';
 
-/** More than the system takes in for a caller that does not read. */
+/** More than the kernel buffers for a caller that does not read. */
 export const largeBytes = 16_000_000;
 
-/** An open listener, its first caller, and what both saw. */
+/** A started server with its first caller, and a record of its calls and cut answers. */
 export type TestListener = {
 	readonly server: GracefulServer;
 	readonly caller: Socket;
-	/** Paths of the calls that were handed on. */
+	/** Paths of the calls passed to the handler. */
 	readonly handledPaths: string[];
 	readonly cutAnswers: CutAnswer[];
 };
 
-/** A call without a body. */
+/** Returns a complete request without a body. */
 export function getCall(path: string): string {
 	return `GET ${path} HTTP/1.1\r\nhost: one.example\r\n\r\n`;
 }
 
-/** The head of a call with a body of this many bytes. */
+/** Returns the head of a request with a body of this many bytes. */
 export function postHead(path: string, bodyBytes = 0): string {
 	return `POST ${path} HTTP/1.1\r\nhost: one.example\r\ncontent-length: ${bodyBytes}\r\n\r\n`;
 }
 
-/** One more caller of this server. It reads nothing until it is asked to, and ends its side by itself if it may. */
+/** Connects a caller. It does not read until it is resumed; with `allowHalfOpen` it does not close its side by itself. */
 export async function connectTo(store: DisposableStore, server: GracefulServer, allowHalfOpen = false): Promise<Socket> {
 	// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- a server on a port has such an address.
 	const {port} = server.address() as AddressInfo;
@@ -38,7 +38,7 @@
 	return caller;
 }
 
-/** Opens a listener that hands its calls to `take`, with one caller. */
+/** Starts a server that passes its calls to `handleCall`, and connects one caller. */
 export async function startTestListener(
 	store: DisposableStore,
 	handleCall: (path: string, outgoing: ServerResponse) => void,
@@ -59,7 +59,7 @@
 	};
 }
 
-/** Everything until the connection is closed. */
+/** Resolves with all bytes received until the connection is closed. */
 export async function readAll(caller: Socket): Promise<string> {
 	let text = '';
 	caller.on('data', (chunk: Buffer) => {
@@ -72,7 +72,7 @@
 	return text;
 }
 
-/** Statuses of the answers in what was read. */
+/** Returns the statuses of all answers in the text. */
 export function parseStatuses(text: string): string[] {
 	return Array.from(text.matchAll(/HTTP\/1\.1 (?<status>\d{3}) /gv), match => match.groups!.status!);
 }
--- a/src/node/front/page-server.test.ts
+++ b/src/node/front/page-server.test.ts
@@ -4,12 +4,12 @@
 import {DisposableStore, toDisposable} from '../../common/lifecycle/disposable.ts';
 import {PageServer} from './page-server.ts';
 
-/** More than the system takes in for somebody who does not read, so that the rest waits in the process. */
+/** More than the kernel buffers for a client that does not read, so that the rest stays in the process. */
 const pageBytes = 5_000_000;
 
-describe('a server of pages', () => {
-	// Guards a page that is under way against the end of its VM.
-	it('hands out a page that is under way when its VM ends', async () => {
+describe('PageServer', () => {
+	// The end of the VM must not truncate a page that is being sent.
+	it('completes a page that is in progress when the VM ends', async () => {
 		const owned = new DisposableStore();
 		const server = owned.add(new PageServer(() => ({status: 200, body: 'a'.repeat(pageBytes)}), 1000, 5000));
 		const port = await server.listen(0, '127.0.0.1');
--- a/src/node/front/process-pools.test.ts
+++ b/src/node/front/process-pools.test.ts
@@ -4,9 +4,9 @@
 
 const target = {identity: 'one', address: '127.0.0.1', port: 9};
 
-describe('connections to the process of a backend server', () => {
-	// Guards calls for a restarted backend server against kept connections to the process before.
-	it('are not used for the one that replaces it, nor after a change of address', () => {
+describe('the connection pool of a backend server process', () => {
+	// Connections to the previous process of a restarted backend server may be dead without a reset.
+	it('is replaced when the process restarts or its address changes', () => {
 		const store = new DisposableStore();
 		const connections = store.add(new BackendConnections({connectMilliseconds: 100, idleMilliseconds: 100}));
 		const first = connections.pool({...target, processStartedAt: 1});
--- a/src/node/front/second-start.test.ts
+++ b/src/node/front/second-start.test.ts
@@ -2,10 +2,10 @@
 import {type Dispatcher} from 'undici';
 import {BackendAttempt} from './backend-attempt.ts';
 
-describe('an attempt that the HTTP library starts a second time', () => {
-	it('is aborted before a byte leaves', () => {
-		// A kept-alive connection is lost while an order is written. The library takes the order up again on
-		// another connection by itself. It would be booked twice, and nobody here would know.
+describe('an attempt that the HTTP library retries', () => {
+	it('is aborted before a byte is sent', () => {
+		// If a keep-alive connection is lost while a request is written, undici retries the request on another connection. An order
+		// could then be executed twice without the call engine's knowledge.
 		const log: string[] = [];
 		const attempt = new BackendAttempt(1, {
 			onSent: () => log.push('sent'), onHead: () => undefined, onData: () => true, onEnd: () => undefined, onFailure: () => undefined,
--- a/src/node/front/silent-answer.test.ts
+++ b/src/node/front/silent-answer.test.ts
@@ -6,11 +6,10 @@
 import {BackendAttempt} from './backend-attempt.ts';
 import {BackendConnections} from './backend-connections.ts';
 
-describe('an answer that falls silent', () => {
-	it('fails as silent, so that its caller does not wait without end', async () => {
-		// A landing engineer downloads a map. In the middle something between the VM and the backend server
-		// loses track of the connection: no byte comes any more, and no end. The caller waited without end,
-		// since no deadline ends an answer that has begun.
+describe('an answer whose connection goes silent', () => {
+	it('fails with "silent" after silenceMilliseconds', async () => {
+		// A device between the VM and the backend server may lose a connection's state in the middle of a download: neither data
+		// nor a close arrives any more. No deadline applies to an answer that has begun, so the caller would wait forever.
 		const store = new DisposableStore();
 		const server = createServer((socket: Socket) => {
 			store.add(toDisposable(() => {
--- a/src/node/front/stop-call-moments.test.ts
+++ b/src/node/front/stop-call-moments.test.ts
@@ -1,4 +1,4 @@
-/** Moments of one call's request and answer at which a planned stop may begin; see stop-moments-table. */
+/** Stop cases for one call, at different points of its request and its answer; see stop-case-table. */
 import {answerBody} from './answer-reader.test.ts';
 import {
 	answered, largeAnswerBytes, allowedForNextCall, pieceBytes, refused, unanswered,
@@ -6,13 +6,13 @@
 import {type StopCase} from './stop-scene.test.ts';
 import {waitUntil} from './stop-test-utilities.test.ts';
 
-/** More than is kept of a body before its call is placed, and less than each listener's limit. */
+/** More than the buffered size of a body, so that it streams, and less than the body limit of both listeners. */
 const streamedBodyBytes = 100_000;
 
-/** Moments at which a planned stop meets the request or the answer of a call. */
+/** Stop cases during the request or the answer of a call. */
 export const callStopCases: readonly StopCase[] = [
 	{
-		title: 'half a head is in, and the rest comes',
+		title: 'half of a request head has been received, and the rest follows',
 		async run(context) {
 			const caller = await context.caller();
 			const head = context.head('GET', 'first');
@@ -24,7 +24,7 @@
 		allowed: [answered, refused, unanswered],
 	},
 	{
-		title: 'half a body is in, and the rest comes',
+		title: 'half of a request body has been received, and the rest follows',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.sendAndWaitUntilRead(`${context.head('POST', 'first', 'content-length: 10')}01234`);
@@ -35,17 +35,17 @@
 		allowed: [answered, refused],
 	},
 	{
-		title: 'half a body is in, and the rest never comes',
+		title: 'half of a request body has been received, and the rest never arrives',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.sendAndWaitUntilRead(`${context.head('POST', 'first', 'content-length: 10')}01234`);
 			await context.target.stop();
 		},
-		// More than the aim asks: the call was not read whole, but a stop that waits for it can tell its caller.
+		// Stricter than the requirements: the call was not read completely, but a stop that waits for its body can refuse it.
 		allowed: [refused],
 	},
 	{
-		title: 'half a chunked body is in, and the rest comes',
+		title: 'half of a chunked request body has been received, and the rest follows',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.sendAndWaitUntilRead(`${context.head('POST', 'first', 'transfer-encoding: chunked')}5\r\n01234\r\n5\r\n56`);
@@ -56,7 +56,7 @@
 		allowed: [answered, refused],
 	},
 	{
-		title: 'half a body that streams to the backend server is in, and the rest comes',
+		title: 'a request body is streaming to the backend server, and its last byte follows',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.sendAndWaitUntilRead(context.head('POST', 'first', `content-length: ${streamedBodyBytes}`) + 'b'.repeat(streamedBodyBytes - 1));
@@ -67,7 +67,7 @@
 		allowed: [answered],
 	},
 	{
-		title: 'a caller has been told to go on with its body, and sends it then',
+		title: 'a caller has received "100 Continue", and its body follows',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('POST', 'first', 'content-length: 10', 'expect: 100-continue'));
@@ -79,7 +79,7 @@
 		allowed: [`100; ${answered}`, `100; ${refused}`],
 	},
 	{
-		title: 'a call is sent, and no answer is there',
+		title: 'a call has been sent, and its answer has not begun',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('GET', 'first'));
@@ -90,7 +90,7 @@
 		allowed: [answered],
 	},
 	{
-		title: 'the head of an answer is in',
+		title: 'the head of an answer has been received',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('GET', 'first'));
@@ -103,7 +103,7 @@
 		allowed: [answered],
 	},
 	{
-		title: 'half an answer is in',
+		title: 'half of an answer has been received',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('GET', 'first'));
@@ -116,7 +116,7 @@
 		allowed: [answered],
 	},
 	{
-		title: 'half an answer without a length is in',
+		title: 'half of a close-delimited answer has been received',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('GET', 'first'));
@@ -129,7 +129,7 @@
 		allowed: [answered],
 	},
 	{
-		title: 'an answer is in whole, and its caller reads slowly',
+		title: 'an answer has been received completely, and its caller reads slowly',
 		async run(context) {
 			const caller = await context.caller();
 			caller.pause();
@@ -143,7 +143,7 @@
 		allowed: [answered],
 	},
 	{
-		title: 'an answer is in whole, its caller reads slowly, and its next call is in',
+		title: 'an answer has been received completely, its caller reads slowly, and a pipelined call waits',
 		async run(context) {
 			const caller = await context.caller();
 			caller.pause();
--- a/src/node/front/stop-connection-moments.test.ts
+++ b/src/node/front/stop-connection-moments.test.ts
@@ -1,4 +1,4 @@
-/** Moments of places and connections at which a planned stop may begin; see stop-moments-table. */
+/** Stop cases for calls that are queued and for connections between calls; see stop-case-table. */
 import {setImmediate, setTimeout as delay} from 'node:timers/promises';
 import {expect} from 'earl';
 import {type Milliseconds} from '../../common/model/units.ts';
@@ -8,16 +8,16 @@
 import {type StopCase, type StopCaseContext} from './stop-scene.test.ts';
 import {waitUntil} from './stop-test-utilities.test.ts';
 
-/** Larger than each listener's limit of a body. */
+/** Exceeds the body limit of both listeners. */
 const largeBodyBytes = 1_100_000;
 
-/** Calls at once, of which some must wait at each listener. */
+/** Number of concurrent calls; more than either listener sends to the backend server at once, so that some are queued. */
 const concurrentCalls = 12;
 
-/** Time in which a call that is not made to wait would reach the backend server. */
+/** Time within which a call that is not queued reaches the backend server. */
 const settleMilliseconds: Milliseconds = 50;
 
-/** Brings more calls than there are places; the rest waits in the VM. */
+/** Sends more calls than the backend server receives concurrently; the VM queues the rest. */
 async function fillConcurrency(context: StopCaseContext): Promise<void> {
 	for (let index = 0; index < concurrentCalls; index++) {
 		const caller = await context.caller();
@@ -29,20 +29,20 @@
 	expect(context.backend.ran.length).toEqual(context.target.places);
 }
 
-/** Moments at which a planned stop meets calls that wait, and connections between calls. */
+/** Stop cases with queued calls, and with connections between calls. */
 export const connectionStopCases: readonly StopCase[] = [
 	{
-		title: 'a call waits for a place',
+		title: 'a call is queued',
 		async run(context) {
 			await fillConcurrency(context);
 			await context.target.stop();
 			await Promise.all(context.callers.map(async (caller, index) => Promise.race([context.answer(`first_${index}`), caller.waitForAnswers(1)])));
 		},
-		// The time that its service allows may end, too, as it would without a stop.
+		// A queued call may also reach its deadline, as it could without a stop.
 		allowed: [answered, refused, '504 refused | ran', '504 refused | ran first'],
 	},
 	{
-		title: 'a connection is between two calls, and the next one comes at once',
+		title: 'a connection is between two calls, and the next call arrives during the stop',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('GET', 'first'));
@@ -57,7 +57,7 @@
 		checksCloseHeader: true,
 	},
 	{
-		title: 'a connection has carried a call, and is used again later',
+		title: 'a connection is idle after a call, and is reused after the stop has begun',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('GET', 'first'));
@@ -72,7 +72,7 @@
 		checksCloseHeader: true,
 	},
 	{
-		title: 'a connection has carried no call yet, and is used now',
+		title: 'a connection is open without a call so far, and its first call follows',
 		async run(context) {
 			const caller = await context.caller();
 			await context.target.stop();
@@ -82,7 +82,7 @@
 		allowed: [answered, refused, unanswered],
 	},
 	{
-		title: 'a connection is opened',
+		title: 'a new connection is opened',
 		async run(context) {
 			await context.target.stop();
 			const caller = await context.caller();
@@ -92,7 +92,7 @@
 		allowed: [answered, refused, unanswered],
 	},
 	{
-		title: 'two pipelined calls are in',
+		title: 'two pipelined calls have been received',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.sendAndWaitUntilRead(context.head('GET', 'first') + context.head('GET', 'second'));
@@ -105,7 +105,7 @@
 		checksCloseHeader: true,
 	},
 	{
-		title: 'a pipelined call comes while the one before it is answered',
+		title: 'a call is in progress, and a pipelined call follows',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('GET', 'first'));
@@ -119,7 +119,7 @@
 		checksCloseHeader: true,
 	},
 	{
-		title: 'a caller sends on after an answer that says "connection: close"',
+		title: 'a caller sends another call after an answer with "connection: close"',
 		async run(context) {
 			const caller = await context.caller();
 			const head = context.head('GET', 'first');
@@ -134,7 +134,7 @@
 		checksCloseHeader: true,
 	},
 	{
-		title: 'a call is refused while its caller sends a large body',
+		title: 'a call is refused while its caller is sending a large body',
 		async run(context) {
 			const caller = await context.caller();
 			const head = context.head('POST', 'first', `content-length: ${largeBodyBytes}`);
@@ -153,10 +153,10 @@
 	},
 ];
 
-/** Moments that a VM must bring to an end by itself, since no answer comes within its grace time. */
+/** Stop cases that the VM must terminate itself, because no answer arrives within its grace period. */
 export const unansweredStopCases: readonly StopCase[] = [
 	{
-		title: 'a call is sent, and its answer never comes',
+		title: 'a call has been sent, and the backend server never answers',
 		async run(context) {
 			const caller = await context.caller();
 			await caller.send(context.head('GET', 'first'));
@@ -166,12 +166,12 @@
 		allowed: ['502 refused | ran first', '504 refused | ran first'],
 	},
 	{
-		title: 'a call waits for a place, and none comes free',
+		title: 'a call is queued, and no call in flight completes',
 		async run(context) {
 			await fillConcurrency(context);
 			await context.target.stop();
 		},
-		// Of those that hold the places the moment before this one decides.
+		// The case above determines the outcomes of the calls that were sent to the backend server.
 		allowed: [refused, '502 refused | ran first', '504 refused | ran first', ' | ran first'],
 	},
 ];
--- a/src/node/front/stop-moments-table.test.ts
+++ b/src/node/front/stop-moments-table.test.ts
@@ -1,8 +1,10 @@
 /**
- * The moments of a call's life at which a planned stop may begin, and what may come of the call. The same table serves both
- * listeners. What may come of it follows from the aim alone: each call that the VM has read whole has exactly one whole answer or
- * one whole refusal; a refusal that says "not run" is true, also later; a connection ends without an answer only if no call on
- * it was read whole; and after an answer that says `connection: close` its caller waits for no other.
+ * The points in the life of a call at which a planned stop may begin, with the allowed outcomes. Both listeners use this table.
+ * The allowed outcomes follow only from these requirements:
+ * - Each call that the VM has read completely receives exactly one complete answer or one complete refusal.
+ * - A refusal that states "not run" is true and stays true.
+ * - A connection ends without an answer only if no call on it was read completely.
+ * - After an answer with `connection: close`, the caller expects no further answer.
  */
 import {callStopCases} from './stop-call-moments.test.ts';
 import {connectionStopCases} from './stop-connection-moments.test.ts';
@@ -10,5 +12,5 @@
 
 export {unansweredStopCases as lastMoments} from './stop-connection-moments.test.ts';
 
-/** Moments at each listener. */
+/** Stop cases that apply to both listeners. */
 export const moments: readonly StopCase[] = [...callStopCases, ...connectionStopCases];
--- a/src/node/front/stop-moments.test.ts
+++ b/src/node/front/stop-moments.test.ts
@@ -6,10 +6,10 @@
 import {type Listener, playMoments} from './stop-scene.test.ts';
 import {startFrontend} from './test-utilities.test.ts';
 
-/** Stands for the grace time of a VM, longer than a call may take here: what is not over by then is cut. */
+/** Simulated grace period of a VM, longer than any call in this test; connections that are still open after it are cut. */
 const graceMilliseconds: Milliseconds = 3000;
 
-/** The callers' listener alone; its planned stop has two steps, which the daemon takes one after the other. */
+/** Starts only the callers' listener. Its planned stop has two steps, which the daemon runs one after the other. */
 async function startCallerServer(owned: DisposableStore, backendPort: number, firstStep: 'closeIdle' | 'stopListening'): Promise<Listener> {
 	const targetStore = owned.add(new DisposableStore());
 	const {server, ended, url} = await startFrontend(targetStore, [backendPort], {stallMilliseconds: 5000});
@@ -22,7 +22,7 @@
 	return {
 		port: Number(new URL(url).port),
 		prefix: '/services/orders/',
-		// One call tries out a backend server that has told nothing of itself.
+		// A backend server without a load report so far receives a single trial call.
 		places: 1,
 		endedCalls: () => ended.length,
 		isOver: () => killController.signal.aborted,
@@ -42,7 +42,7 @@
 }
 
 for (const firstStep of ['closeIdle', 'stopListening'] as const) {
-	describe(`the callers' listener when a planned stop begins with ${firstStep} and`, function () {
+	describe(`CallerServer, when a planned stop starts with ${firstStep} while`, function () {
 		this.timeout(20_000);
 
 		const outcomes = new Map<string, Promise<readonly string[]>>();
@@ -50,7 +50,7 @@
 			playMoments(moments, async (owned, port) => startCallerServer(owned, port, firstStep), outcomes);
 		});
 
-		// Guards calls against a planned stop that meets them at a seldom point of their life.
+		// A planned stop must neither lose nor truncate a call, whatever state the call is in.
 		for (const {title} of moments) {
 			it(title, async () => {
 				expect(await outcomes.get(title)).toEqual([]);
--- a/src/node/front/stop-scene.test.ts
+++ b/src/node/front/stop-scene.test.ts
@@ -1,29 +1,29 @@
-/** A moment of a planned stop as a play: one VM's listener, one backend server, callers, and what came of their calls. */
+/** Runs stop cases: a planned stop of one VM at a chosen point of a call, with one backend server and raw callers. */
 import {Disposable, DisposableStore} from '../../common/lifecycle/disposable.ts';
 import {
 	type BackendCall, ConnectionTracker, waitUntil, RawBackend, RawCaller,
 } from './stop-test-utilities.test.ts';
 
-/** A VM of one backend server, from the side of its callers' listener. */
+/** The VM or listener to be stopped, with one backend server behind it. */
 export type Listener = {
 	readonly port: number;
-	/** Before the name of a call in its path. */
+	/** Path prefix of all calls; the name of the call follows it. */
 	readonly prefix: string;
-	/** Calls that go to the backend server at once while it answers none. */
+	/** Number of calls that are sent to the backend server concurrently before it has answered any. */
 	readonly places: number;
-	/** Calls of which the engine has seen the end. */
+	/** Returns the number of calls that the engine has completed. */
 	readonly endedCalls: () => number;
-	/** Begins the planned stop; resolves once the stage under test is entered. */
+	/** Starts the planned stop; resolves once the stage under test is entered. */
 	readonly stop: () => Promise<void>;
-	/** Goes on to the last stage; resolves once the VM has ended and its sockets are closed. */
+	/** Continues to the last stage; resolves once the VM has ended and its sockets are closed. */
 	readonly finish: () => Promise<void>;
 	readonly isOver: () => boolean;
 };
 
-/** Opens the listener before the backend server on this port. */
+/** Starts a target whose backend server listens on this port. */
 export type StartStopTarget = (owned: DisposableStore, backendPort: number) => Promise<Listener>;
 
-/** What a moment is played with. */
+/** The target, backend server and callers of one stop case. */
 export class StopCaseContext extends Disposable {
 	readonly backend = new RawBackend();
 	readonly callers: RawCaller[] = [];
@@ -45,12 +45,12 @@
 		return caller.waitUntilAccepted();
 	}
 
-	/** Head of a call; the empty line that ends it comes with the last header. */
+	/** Returns the complete head of a call, including the empty line at its end. */
 	head(method: string, name: string, ...headers: string[]): string {
 		return [`${method} ${this.target.prefix}${name} HTTP/1.1`, 'host: one.example', `request-id: ${name}`, ...headers, '', ''].join('\r\n');
 	}
 
-	/** A call at the backend server; undefined if the VM ends before it is there. */
+	/** Resolves with a call once the backend server has received it; undefined if the VM ends first. */
 	async waitForCall(name: string): Promise<BackendCall | undefined> {
 		return this.backend.call(name, this.target.isOver);
 	}
@@ -61,24 +61,25 @@
 	}
 }
 
-/** One moment. An outcome is all answers on a connection, and what ran of the calls on it. */
+/** One stop case. Its outcome for each connection: all answers on it, and the names of the calls that ran. */
 export type StopCase = {
 	readonly title: string;
-	/** Brings a call to the moment, stops the VM and goes on with the call. */
+	/** Advances a call to the point under test, stops the VM and continues the call. */
 	readonly run: (context: StopCaseContext) => Promise<void>;
+	/** Allowed outcomes, in the form that `outcomeOf` returns. */
 	readonly allowed: readonly string[];
-	/** It matters which answer says `connection: close`, since calls come behind it. */
+	/** The outcome includes which answers carry `connection: close`, because further calls follow on the connection. */
 	readonly checksCloseHeader?: true;
 };
 
-/** What came of the calls on one connection; names of calls on connections of one moment differ by a number. */
+/** Returns the outcome of one connection. If a case has several connections, a number in the names of calls identifies theirs. */
 function outcomeOf({answers}: RawCaller, ran: readonly string[], index: number): string {
 	const isAlone = ran.every(name => !name.includes('_'));
 	const ownCalls = isAlone ? ran : ran.filter(name => name.endsWith(`_${index}`));
 	return [answers.join('; '), '|', 'ran', ...ownCalls].join(' ').replaceAll(new RegExp(String.raw`_${index}\b`, 'gv'), '');
 }
 
-/** Plays one moment; tells outcomes that are not among those allowed, and how connections ended. */
+/** Runs one stop case; resolves with the outcomes that are not allowed, and how their connections ended. */
 async function runStopCase({run, allowed, checksCloseHeader}: StopCase, startTarget: StartStopTarget): Promise<readonly string[]> {
 	const context = new StopCaseContext();
 	try {
@@ -96,10 +97,10 @@
 	}
 }
 
-/** Moments that are played side by side: most of a stop is waiting, and one process has its limits. */
+/** Number of cases that run concurrently. Most of a stop is waiting, but one process cannot run all cases at once. */
 const maxConcurrentCases = 6;
 
-/** Begins to play all moments; what is not allowed of each comes by its title. */
+/** Starts all cases; `outcomes` receives, by title, a promise of the outcomes that are not allowed. */
 export function playMoments(stopCases: readonly StopCase[], startTarget: StartStopTarget, outcomes: Map<string, Promise<readonly string[]>>): void {
 	const results: Array<Promise<readonly string[]>> = [];
 	const runAfter = async (previous: ReadonlyArray<Promise<unknown>>, stopCase: StopCase) => {
@@ -112,6 +113,6 @@
 		outcomes.set(stopCase.title, results[index]!);
 	}
 
-	// A moment that throws before its test awaits it is no unhandled rejection.
+	// A case may reject before its test awaits it; the rejection must not be reported as unhandled.
 	void Promise.allSettled(results);
 }
--- a/src/node/front/stop-test-utilities.test.ts
+++ b/src/node/front/stop-test-utilities.test.ts
@@ -1,4 +1,4 @@
-/** What tests of a planned stop share: a caller and a backend server of raw bytes. */
+/** Helpers for tests of a planned stop: a caller and a backend server on raw sockets. */
 import {subscribe, unsubscribe} from 'node:diagnostics_channel';
 import {connect, Socket} from 'node:net';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -7,17 +7,17 @@
 import {answerBody, headEnd, readAnswers} from './answer-reader.test.ts';
 import {startRawServer} from './test-utilities.test.ts';
 
-/** Pause between two looks at something that tells no event. */
+/** Polling interval for conditions that emit no event. */
 const pollMilliseconds: Milliseconds = 2;
 
-/** Waits until it holds. Nothing is asserted on the time; whoever waits is bounded by the end of the VM. */
+/** Resolves once the condition is true. Without a timeout: each condition also becomes true when the VM has ended. */
 export async function waitUntil(condition: () => boolean): Promise<void> {
 	while (!condition()) {
 		await delay(pollMilliseconds);
 	}
 }
 
-/** Both ends of each connection of this process, so that a test sees when the other end has taken its bytes in. */
+/** Records both sockets of each connection within this process, so that a test can detect when its peer has read all bytes. */
 export class ConnectionTracker extends Disposable {
 	private readonly _sockets = new Set<Socket>();
 
@@ -37,7 +37,7 @@
 		}
 	}
 
-	/** The other end of a connection, once it is accepted. */
+	/** Returns the socket at the other end of a connection; undefined until it is accepted. */
 	findPeer(socket: Socket): Socket | undefined {
 		if (socket.localPort === undefined || socket.remotePort === undefined) {
 			return undefined;
@@ -46,7 +46,7 @@
 		return [...this._sockets].find(other => other.remotePort === socket.localPort && other.localPort === socket.remotePort);
 	}
 
-	/** The other end has read all that was written here, or one end has gone. */
+	/** Resolves once the peer has read all bytes written to the socket, or one of the two sockets is closed. */
 	async waitUntilRead(socket: Socket, knownPeer?: Socket): Promise<void> {
 		let peer = knownPeer;
 		await waitUntil(() => {
@@ -56,9 +56,9 @@
 	}
 }
 
-/** A caller that sends what it likes, and reads only when told to if it is slow. */
+/** A caller that sends raw bytes; `pause` and `resume` control whether it reads. */
 export class RawCaller extends Disposable {
-	/** How the connection ended. */
+	/** State of the connection, or the way in which it ended. */
 	end: 'open' | 'closed' | 'reset' | 'refused' = 'open';
 	private readonly _socket: Socket;
 	private readonly _tracker: ConnectionTracker;
@@ -88,7 +88,7 @@
 		return readAnswers(Buffer.concat(this._received));
 	}
 
-	/** The connection is open, and the VM knows it. */
+	/** Resolves once the VM has accepted the connection, or the connection has ended. */
 	async waitUntilAccepted(): Promise<this> {
 		await waitUntil(() => {
 			this._peer = this._tracker.findPeer(this._socket);
@@ -97,7 +97,7 @@
 		return this;
 	}
 
-	/** Writes, and goes on once the system has the bytes or the connection has gone. */
+	/** Writes bytes; resolves once the kernel has accepted them or the connection is closed. */
 	async send(bytes: string | Buffer): Promise<void> {
 		return new Promise(resolve => {
 			this._socket.write(bytes, () => {
@@ -106,13 +106,13 @@
 		});
 	}
 
-	/** Writes, and goes on once the VM has taken the bytes in. */
+	/** Writes bytes; resolves once the VM has read them. */
 	async sendAndWaitUntilRead(bytes: string | Buffer): Promise<void> {
 		await this.send(bytes);
 		await this._tracker.waitUntilRead(this._socket, this._peer);
 	}
 
-	/** Waits for so many answers, interim ones included, or for the end of the connection. */
+	/** Resolves once this many answers, including interim ones, have been received or the connection has ended. */
 	async waitForAnswers(count: number): Promise<void> {
 		let seenChunks = 0;
 		await waitUntil(() => {
@@ -122,7 +122,7 @@
 		});
 	}
 
-	/** Waits until the VM has written something to this caller, which need not have read it. */
+	/** Resolves once the VM has written any bytes to this caller, whether the caller has read them or not. */
 	async waitForAnswerBytes(): Promise<void> {
 		await waitUntil(() => this.end !== 'open' || this._peer === undefined || this._peer.destroyed || this._peer.bytesWritten > 0);
 	}
@@ -136,7 +136,7 @@
 	}
 }
 
-/** A call at the backend server; the test decides what is answered and when. */
+/** A call received by the backend server; the test controls the content and time of the answer. */
 export class BackendCall {
 	readonly name: string;
 	private readonly _socket: Socket;
@@ -148,13 +148,13 @@
 		this._tracker = tracker;
 	}
 
-	/** Writes, and goes on once the VM has taken the bytes in. */
+	/** Writes text; resolves once the VM has read it. */
 	async write(text: string): Promise<void> {
 		this._socket.write(text);
 		await this._tracker.waitUntilRead(this._socket);
 	}
 
-	/** Head of an answer in both dialects; by itself it tells no length. */
+	/** Returns the head of an answer that is valid in both dialects; without a content length unless `headers` contain one. */
 	head(...headers: string[]): string {
 		return ['HTTP/1.1 200 OK', ...backendHeaders, `request-id: ${this.name}`, 'response-signature: s', ...headers].join('\r\n') + headEnd;
 	}
@@ -164,28 +164,28 @@
 		this._socket.write(this.head(`content-length: ${body.length}`, ...headers) + body);
 	}
 
-	/** Ends the connection, and with it an answer that tells no length. */
+	/** Writes text and closes the connection, which completes a close-delimited answer. */
 	end(text: string): void {
 		this._socket.end(text);
 	}
 }
 
-/** What the platform's and jaydale's own dialect ask of each answer. */
+/** Headers that the platform's dialect and jaydale's own dialect require in every answer. */
 const backendHeaders = ['server-load: 0,0,6,100', 'instance-id: i-1', 'jaydale-load: in-flight=0, queued=0, slots=6, instance=i-1'];
 
-/** A backend server of raw bytes that notes each call that reached it whole. */
+/** A backend server on raw sockets that records each call that it has received completely. */
 export class RawBackend {
-	/** Names of calls, in the order in which they came. */
+	/** Names of the received calls, in order of arrival. */
 	readonly ran: string[] = [];
 	private readonly _calls: BackendCall[] = [];
 	private _openConnections = 0;
 
-	/** While one is open, a call may still be on its way. */
+	/** Number of open connections; while it is above zero, a call may still be in transit. */
 	get openConnections(): number {
 		return this._openConnections;
 	}
 
-	/** Starts to listen on loopback; resolves with the port. */
+	/** Starts listening on the loopback address; resolves with the port. */
 	async start(owned: DisposableStore, tracker: ConnectionTracker): Promise<number> {
 		return startRawServer(owned, socket => {
 			this._openConnections++;
@@ -214,14 +214,14 @@
 		});
 	}
 
-	/** The call of this name, once it is here; undefined if `isOver` comes first. */
+	/** Resolves with the call of this name once it has arrived; undefined if `hasEnded` becomes true first. */
 	async call(name: string, hasEnded: () => boolean): Promise<BackendCall | undefined> {
 		await waitUntil(() => hasEnded() || this._calls.some(call => call.name === name));
 		return this._calls.find(call => call.name === name);
 	}
 }
 
-/** Requests come one by one here; a body has a length or chunks. */
+/** True if `text` is a complete request. Requests arrive one at a time, with a content length or chunked. */
 function isCompleteRequest(text: string): boolean {
 	const end = text.indexOf(headEnd);
 	const length = /\r\ncontent-length: (\d+)/iv.exec(text)?.[1] ?? '0';
--- a/src/node/front/test-utilities.test.ts
+++ b/src/node/front/test-utilities.test.ts
@@ -1,4 +1,4 @@
-/** What tests of the callers' listener share: a listener with a real engine, and backend servers of raw bytes. */
+/** Helpers for tests of the callers' listener: a listener with a real call engine, and backend servers on raw sockets. */
 import {createServer, type Server, type Socket} from 'node:net';
 import {DefaultCallEngine} from '../../common/calls/call-engine.ts';
 import {type CallSummary} from '../../common/calls/types.ts';
@@ -18,12 +18,12 @@
 	headBytes: 16_384, headMilliseconds: 5000, stallMilliseconds: 300, idleMilliseconds: 5000, bodyBytes: 200_000, keptBodyBytes: 65_536, connections: 100,
 };
 
-/** No service of these tests asks for keys. */
+/** The services in these tests do not claim idempotency keys. */
 const unusedKeyClaimer = {claim: () => undefined, release: async () => undefined};
 
 export type Frontend = {readonly url: string; readonly ended: CallSummary[]; readonly server: CallerServer};
 
-/** The callers' listener with a real engine in front of the given ports. */
+/** Starts the callers' listener with a real engine and one backend server on each of the given ports. */
 export async function startFrontend(store: DisposableStore, ports: readonly number[], limitOverrides: Partial<CallerServerLimits> = {}): Promise<Frontend> {
 	const connections = store.add(new BackendConnections({connectMilliseconds: 1000, idleMilliseconds: 5000}));
 	const engine = new DefaultCallEngine({random: seededRandom(1), settings: {dataCentre: 'north'}});
@@ -67,7 +67,7 @@
 	return result._unsafeUnwrap();
 }
 
-/** A backend server of raw bytes: does what no well-behaved one does. */
+/** Starts a TCP server that acts as a misbehaving backend server; resolves with its port. */
 export async function startRawServer(store: DisposableStore, onSocket: (socket: Socket) => void): Promise<number> {
 	const server: Server = createServer(socket => {
 		socket.on('error', () => undefined);
--- a/src/node/front/unframed-answer.test.ts
+++ b/src/node/front/unframed-answer.test.ts
@@ -6,7 +6,7 @@
 import {startFrontend, startRawServer} from './test-utilities.test.ts';
 import {type AttemptListener} from './types.ts';
 
-/** What becomes of one attempt against a backend server that answers so. */
+/** Runs one attempt against a backend server that answers as given; resolves with `whole` or the failure. */
 async function attemptOutcome(answer: (socket: Socket) => void, onData = () => true): Promise<string> {
 	const store = new DisposableStore();
 	const port = await startRawServer(store, socket => {
@@ -35,16 +35,16 @@
 	return outcome;
 }
 
-describe('an answer without a length', () => {
-	it('is whole when its connection ends', async () => {
+describe('a close-delimited answer', () => {
+	it('is complete when its connection closes', async () => {
 		const outcome = await attemptOutcome(socket => {
 			socket.end('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nall of it');
 		});
 		expect(outcome).toEqual('whole');
 	});
 
-	// Guards callers against a reset that looks like the end of an answer without a length.
-	it('has failed when its connection is reset', async () => {
+	// undici treats a reset as the end of a close-delimited answer, so that a truncated body would look complete.
+	it('fails when its connection is reset', async () => {
 		const outcome = await attemptOutcome(socket => {
 			socket.write('HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf', () => {
 				setTimeout(() => {
@@ -55,8 +55,8 @@
 		expect(outcome).toEqual('reset-during-answer');
 	});
 
-	// Guards against the same where the backend server did not announce that it closes.
-	it('has failed when its connection is reset, also without the word that it closes', async () => {
+	// The same if the backend server did not send `Connection: close`.
+	it('fails when its connection is reset, also without a Connection header', async () => {
 		const outcome = await attemptOutcome(socket => {
 			socket.write('HTTP/1.1 200 OK\r\n\r\nhalf', () => {
 				setTimeout(() => {
@@ -68,10 +68,10 @@
 	});
 });
 
-describe('an answer that its reader makes wait', () => {
-	// Guards the process against an assertion of the library when a paused answer ends with its connection.
+describe('an answer that its reader pauses', () => {
+	// undici fails an assertion, which ends the process, if the connection closes while its answer is paused.
 	for (const head of ['Connection: close', 'Connection: close\r\nContent-Length: 3', 'X: y']) {
-		it(`ends well when its connection does (${head.replaceAll('\r\n', ', ')})`, async () => {
+		it(`completes when its connection closes (${head.replaceAll('\r\n', ', ')})`, async () => {
 			const outcome = await attemptOutcome(socket => {
 				socket.end(`HTTP/1.1 200 OK\r\n${head}\r\n\r\nabc`);
 			}, () => false);
@@ -80,9 +80,9 @@
 	}
 });
 
-describe('a call whose answer has no length', () => {
-	// Guards callers against half an answer that gets a length here and looks whole.
-	it('is answered without a length too', async () => {
+describe('a call with a close-delimited answer', () => {
+	// With a content length or chunked framing added here, a truncated answer would look complete.
+	it('is answered with a close-delimited answer', async () => {
 		const store = new DisposableStore();
 		const port = await startRawServer(store, socket => {
 			socket.once('data', () => {
@@ -98,7 +98,7 @@
 	});
 });
 
-/** Everything that comes back on one connection until it is closed. */
+/** Sends a request; resolves with all bytes received until the connection is closed. */
 async function rawAnswer(port: string, path: string): Promise<string> {
 	return new Promise(resolve => {
 		const socket = connect(Number(port), '127.0.0.1', () => {
--- a/src/node/front/unreadable-calls.test.ts
+++ b/src/node/front/unreadable-calls.test.ts
@@ -5,10 +5,10 @@
 	getCall, largeBytes, startTestListener, postHead, readAll, parseStatuses,
 } from './open-listener.test.ts';
 
-/** Heads are given up soon, so that a test does not wait for it. */
+/** Short head timeouts, so that the tests do not wait long. */
 const shortTimeouts = {headersTimeout: 300, connectionsCheckingInterval: 100, requestTimeout: 0};
 
-describe('bytes that are no call', () => {
+describe('input that is not a valid request', () => {
 	let store: DisposableStore;
 	beforeEach(() => {
 		store = new DisposableStore();
@@ -17,7 +17,7 @@
 		store.dispose();
 	});
 
-	// Guards a download against bytes behind it that never become a call.
+	// Invalid input after a request must not truncate the answer to that request.
 	async function completesDownloadFollowedBy(bytes: string): Promise<boolean> {
 		const {caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.end(Buffer.alloc(largeBytes));
@@ -30,16 +30,16 @@
 		return text.length > largeBytes;
 	}
 
-	it('cut no answer that is under way: half a head', async () => {
+	it('does not cut an answer in progress: half of a head', async () => {
 		expect(await completesDownloadFollowedBy('GET /2 HTT')).toEqual(true);
 	});
 
-	it('cut no answer that is under way: junk', async () => {
+	it('does not cut an answer in progress: arbitrary bytes', async () => {
 		expect(await completesDownloadFollowedBy('\0\u0001junk\r\n\r\n')).toEqual(true);
 	});
 
-	// Guards a download against the time-out of calls behind it that were not read for lack of room.
-	it('are not made of whole calls that were not read for lack of room', async () => {
+	// Pipelined requests stay unread while buffers are full; the head timeout must not fire for them and cut the download.
+	it('does not include valid requests that are unread because buffers are full', async () => {
 		const {caller} = await startTestListener(store, (path, outgoing) => {
 			outgoing.end(path === '/1' ? Buffer.alloc(largeBytes) : '');
 		}, {options: shortTimeouts});
@@ -52,7 +52,7 @@
 		expect(text.length > largeBytes).toEqual(true);
 	});
 
-	it('are refused in the middle of a body, too', async () => {
+	it('is refused inside a chunked body', async () => {
 		const {caller, handledPaths} = await startTestListener(store, () => undefined);
 		caller.write('POST /1 HTTP/1.1\r\nhost: one.example\r\ntransfer-encoding: chunked\r\n\r\n');
 		while (handledPaths.length === 0) {
@@ -63,7 +63,7 @@
 		expect(parseStatuses(await readAll(caller))).toEqual(['400']);
 	});
 
-	it('do not answer the call in front of them', async () => {
+	it('does not replace the answer to the call before it', async () => {
 		const {caller} = await startTestListener(store, (_path, outgoing) => {
 			setTimeout(() => outgoing.end('ran'), 1000);
 		}, {options: shortTimeouts});
@@ -71,7 +71,7 @@
 		expect(parseStatuses(await readAll(caller))).toEqual(['200']);
 	});
 
-	it('are refused, and the refusal arrives although more of them come', async () => {
+	it('is refused, and the refusal arrives although more input follows', async () => {
 		const {caller} = await startTestListener(store, (_path, outgoing) => {
 			outgoing.end();
 		});
@@ -84,8 +84,8 @@
 		expect(parseStatuses(await readAll(caller))).toEqual(['431']);
 	});
 
-	// Guards a call that was handed on against the end of its connection by an unreadable one before it.
-	it('leave no call behind them running without an answer', async () => {
+	// A request behind an invalid one must not be run, because the connection closes before it can be answered.
+	it('does not leave a later call running without an answer', async () => {
 		const {server, caller, handledPaths} = await startTestListener(store, (path, outgoing) => {
 			setTimeout(() => outgoing.end(path), 50);
 		});
