--- a/src/common/protocol/dialect.ts
+++ b/src/common/protocol/dialect.ts
@@ -46,11 +46,11 @@
 export type Dialect = {
 	/**
 	 * Answers of up to this many bytes are buffered until they are complete, so that the call can be retried on another
-	 * backend server if the answer breaks off; 0 disables the buffering.
+	 * backend server if the answer fails midway; 0 disables the buffering.
 	 */
 	readonly heldAnswerBytes: number;
 	/** Returns the headers of an attempt. */
-	attemptHeaders(callerHeaders: HeaderMap, facts: AttemptFacts): string[];
+	attemptHeaders(callerHeaders: HeaderMap, metadata: AttemptFacts): string[];
 	/** Parses the head of an answer; `callerHeaders` are the headers of the call that it answers. */
 	readAnswer(status: number, headers: HeaderMap, callerHeaders: HeaderMap): AnswerReading;
 	/** Returns the headers to send to the caller, given those of the backend server's answer. */
--- a/src/common/protocol/jaydale-dialect.ts
+++ b/src/common/protocol/jaydale-dialect.ts
@@ -12,7 +12,7 @@
 const maxLoadBodyCharacters = 4096;
 
 export class JaydaleDialect implements Dialect {
-	/** Answers are streamed without buffering; one that breaks off is resumed from its offset if it has a validator. */
+	/** Answers are streamed without buffering; a download that fails midway is resumed from its offset if it has a validator. */
 	readonly heldAnswerBytes = 0;
 
 	attemptHeaders(callerHeaders: HeaderMap, {timeoutMilliseconds, traceparent}: AttemptFacts): string[] {
--- a/src/node/front/back-pressure.test.ts
+++ b/src/node/front/back-pressure.test.ts
@@ -88,11 +88,11 @@
 	// Without backpressure a VM buffers all that a fast backend server sends to a slow caller; a few large downloads then exhaust
 	// its memory and end the process with all other calls.
 	it('stops reading from the backend server while the caller does not read, and delivers the rest later', async () => {
-		let upload: {sent: () => number} | undefined;
+		let writer: {sent: () => number} | undefined;
 		const port = await startRawServer(store, socket => {
 			socket.once('data', () => {
 				socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${bodyBytes}\r\n\r\n`);
-				upload = writeBody(socket);
+				writer = writeBody(socket);
 			});
 		});
 		const front = await startFrontend(store, [port], {stallMilliseconds: longStallMilliseconds});
@@ -100,7 +100,7 @@
 		socket.write(`GET ${path}/film HTTP/1.1\r\nhost: test\r\n\r\n`);
 		const head = await firstBytes(socket);
 		socket.pause();
-		expect(await waitUntilStable(() => upload!.sent())).toBeLessThan(maxBufferedBytes);
+		expect(await waitUntilStable(() => writer!.sent())).toBeLessThan(maxBufferedBytes);
 		const rest = bodyBytes - (head.length - head.indexOf('\r\n\r\n') - 4);
 		expect(await countBytes(socket, rest)).toEqual(rest);
 	});
@@ -126,8 +126,8 @@
 		const front = await startFrontend(store, [port], {bodyBytes, stallMilliseconds: longStallMilliseconds});
 		const {socket, path} = connectTo(store, front.url);
 		socket.write(`PUT ${path}/film HTTP/1.1\r\nhost: test\r\njaydale-timeout-milliseconds: 60000\r\ncontent-length: ${bodyBytes}\r\n\r\n`);
-		const upload = writeBody(socket);
-		expect(await waitUntilStable(() => upload.sent())).toBeLessThan(maxBufferedBytes);
+		const writer = writeBody(socket);
+		expect(await waitUntilStable(() => writer.sent())).toBeLessThan(maxBufferedBytes);
 		backend!.resume();
 		const answer = await firstBytes(socket);
 		expect(answer.toString('latin1').split('\r\n')[0]).toEqual('HTTP/1.1 200 OK');
--- a/src/node/front/backend-attempt.ts
+++ b/src/node/front/backend-attempt.ts
@@ -79,8 +79,8 @@
 	}
 
 	/**
-	 * Cancels the attempt. Discards the rest of an answer whose length `answerBytes` is known and small; otherwise closes the
-	 * connection, so that the backend server can stop the work.
+	 * Cancels the attempt. If the answer has begun and its declared length `answerBytes` is small, reads and discards the rest;
+	 * otherwise closes the connection, so that the backend server can stop the work.
 	 */
 	cancel(answerBytes?: number): void {
 		if (this._isEnded) {
--- a/src/node/front/backend-connections.ts
+++ b/src/node/front/backend-connections.ts
@@ -22,7 +22,7 @@
 /**
  * Default for `silenceMilliseconds`. No deadline applies once an answer has begun, so without this timeout a caller would wait
  * forever on a connection that went silent in the middle of an answer. Time during which the answer is paused for a slow caller
- * does not count. Ten seconds tolerate a pause of the backend server; an answer that breaks off may be resumed on another one.
+ * does not count. Ten seconds tolerate a pause of the backend server; an answer that fails midway may be resumed on another one.
  */
 const defaultSilenceMilliseconds: Milliseconds = 10_000;
 
@@ -95,7 +95,7 @@
 		return new Client(originUrl(target.address, target.port), this._options());
 	}
 
-	/** Closes the pools of all other backend servers once their calls in flight have completed. */
+	/** Closes the pools of backend servers that are not in `identities`, once their calls in flight have completed. */
 	retain(identities: ReadonlySet<BackendServerIdentity>): void {
 		for (const [identity, {pool}] of this._pools) {
 			if (!identities.has(identity)) {
@@ -114,7 +114,7 @@
 			connect: this._connect,
 			keepAliveTimeout: this._settings.idleMilliseconds,
 			keepAliveMaxTimeout: this._settings.idleMilliseconds,
-			// The call engine enforces deadlines; only silence within an answer's body is invisible to it.
+			// The call engine enforces the deadline for the answer's head, but cannot detect silence within the body.
 			headersTimeout: 0,
 			bodyTimeout: this._settings.silenceMilliseconds ?? defaultSilenceMilliseconds,
 		};
--- a/src/node/front/caller-server.ts
+++ b/src/node/front/caller-server.ts
@@ -123,8 +123,8 @@
 	}
 
 	/**
-	 * Number of answers that the kernel has not completely accepted, plus connections that are closing. Larger than the number
-	 * of calls in flight: a call completes with the last byte from the backend server, before a slow caller has read it.
+	 * Number of answers that the kernel has not completely accepted, plus connections that are closing. Can exceed the
+	 * number of calls in flight: a call completes with the last byte from the backend server, before a slow caller has read it.
 	 */
 	get unfinishedAnswers(): number {
 		return this._server.unfinishedAnswers;
@@ -139,7 +139,7 @@
 		});
 	}
 
-	/** Closes idle connections now, and each other one after its current answer. Cuts no answer. */
+	/** Closes idle connections now, and every other connection after its current answer. Cuts no answer. */
 	closeIdle(): void {
 		this._server.disableKeepAlive();
 		this._server.closeIdleConnections();
--- a/src/node/front/live-call.ts
+++ b/src/node/front/live-call.ts
@@ -20,7 +20,7 @@
  * progress while it empties its kernel's receive buffer: the kernel reopens the TCP window in steps of a sixteenth of that
  * buffer, which is 2 MB of 32 MB, read within this time at 35 KB/s.
  */
-const defaultCompleteAnswerStall: Milliseconds = 60_000;
+const defaultCompleteAnswerStallMilliseconds: Milliseconds = 60_000;
 
 /** Statuses whose answers have no body, and therefore need no length. */
 const bodilessStatuses = new Set([204, 304]);
@@ -86,7 +86,7 @@
 		this._dialect = exchange.dialect;
 		this.traceId = exchange.traceId;
 		this._stallMilliseconds = exchange.stallMilliseconds;
-		this._completeAnswerStallMilliseconds = exchange.completeAnswerStallMilliseconds ?? defaultCompleteAnswerStall;
+		this._completeAnswerStallMilliseconds = exchange.completeAnswerStallMilliseconds ?? defaultCompleteAnswerStallMilliseconds;
 		this._body = exchange.body;
 		this._sink = sink;
 		this._connections = connections;
@@ -254,7 +254,7 @@
 
 	/**
 	 * Checks that the partial answer to a resumed download starts at the requested offset. Otherwise the joined body would
-	 * look complete but be corrupt. On a mismatch no validator is reported, and the engine then breaks the answer off.
+	 * look complete but be corrupt. On a mismatch no validator is reported, and the engine then aborts the answer.
 	 */
 	private _isExpectedRange(attemptId: number, head: AnswerHead): boolean {
 		const offset = this._resumeOffsets.get(attemptId);
