--- a/src/node/front/answer-at-stop.test.ts
+++ b/src/node/front/answer-at-stop.test.ts
@@ -46,7 +46,7 @@
 
 describe('an answer that has been received completely', () => {
 	/** Starts a call whose large answer the listener has received completely; its caller has read none of it. */
-	async function startUnreadAnswer(store: DisposableStore, limitOverrides: {readonly stallMilliseconds: number; readonly handOverMilliseconds: number}) {
+	async function startUnreadAnswer(store: DisposableStore, limitOverrides: {readonly stallMilliseconds: number; readonly completeAnswerStallMilliseconds: number}) {
 		const port = await startRawServer(store, socket => {
 			socket.on('data', () => {
 				socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${answerBytes}\r\nconnection: close\r\n\r\n`);
@@ -69,7 +69,7 @@
 	// A caller that never reads its answer must neither delay a planned stop nor hold memory forever.
 	it('is dropped if its caller reads nothing within completeAnswerStallMilliseconds', async () => {
 		const store = new DisposableStore();
-		const {server} = await startUnreadAnswer(store, {stallMilliseconds: 100, handOverMilliseconds: 300});
+		const {server} = await startUnreadAnswer(store, {stallMilliseconds: 100, completeAnswerStallMilliseconds: 300});
 		const unfinished = server.unfinishedAnswers;
 		while (server.unfinishedAnswers > 0) {
 			await delay(10);
@@ -82,7 +82,7 @@
 	// The shorter stall timeout applies only while the backend server is still sending the answer.
 	it('is not dropped after the shorter stallMilliseconds', async () => {
 		const store = new DisposableStore();
-		const {caller} = await startUnreadAnswer(store, {stallMilliseconds: 100, handOverMilliseconds: 20_000});
+		const {caller} = await startUnreadAnswer(store, {stallMilliseconds: 100, completeAnswerStallMilliseconds: 20_000});
 		await delay(800);
 		let received = 0;
 		caller.on('data', (chunk: Buffer) => {
