--- a/src/node/front/back-pressure.test.ts
+++ b/src/node/front/back-pressure.test.ts
@@ -2,41 +2,41 @@
 import {setTimeout as delay} from 'node:timers/promises';
 import {expect} from 'earl';
 import {DisposableStore, toDisposable} from '../../common/lifecycle/disposable.ts';
-import {startFront, startRaw} from './test-utilities.test.ts';
+import {startFrontend, startRawServer} from './test-utilities.test.ts';
 
-const filmBytes = 200_000_000;
-/** What sockets of both hops may hold on Linux at most, with room: far less than the film. */
-const heldBytes = 64_000_000;
-/** Longer than the test: who takes nothing is waited for here. */
-const patience = 60_000;
+const bodyBytes = 200_000_000;
+/** Upper bound for the bytes in the socket buffers of both hops on Linux, with a margin; far less than the body. */
+const maxBufferedBytes = 64_000_000;
+/** Longer than the test, so that no stall timeout fires. */
+const longStallMilliseconds = 60_000;
 const chunk = Buffer.alloc(65_536, 'f');
-const quietPolls = 25;
+const requiredStablePolls = 25;
 const pollMilliseconds = 20;
 
-/** Writes the film as fast as the socket takes it; `sent` tells how much has left this process. */
-function pour(socket: Socket): {sent: () => number} {
+/** Writes the body as fast as the socket accepts it; `sent` returns the number of bytes that have left this process. */
+function writeBody(socket: Socket): {sent: () => number} {
 	let written = 0;
-	const more = (): void => {
-		while (written < filmBytes) {
-			const next = chunk.subarray(0, Math.min(chunk.length, filmBytes - written));
+	const writeMore = (): void => {
+		while (written < bodyBytes) {
+			const next = chunk.subarray(0, Math.min(chunk.length, bodyBytes - written));
 			written += next.length;
 			if (!socket.write(next)) {
-				socket.once('drain', more);
+				socket.once('drain', writeMore);
 				return;
 			}
 		}
 	};
 
-	more();
+	writeMore();
 	return {sent: () => written - socket.writableLength};
 }
 
-/** Waits until a number no longer grows. */
-async function settled(read: () => number): Promise<number> {
+/** Resolves with the value once it has stopped changing. */
+async function waitUntilStable(read: () => number): Promise<number> {
 	let last = -1;
-	for (let quiet = 0; quiet < quietPolls; quiet++) {
+	for (let stablePolls = 0; stablePolls < requiredStablePolls; stablePolls++) {
 		const value = read();
-		quiet = value === last ? quiet : 0;
+		stablePolls = value === last ? stablePolls : 0;
 		last = value;
 		await delay(pollMilliseconds);
 	}
@@ -50,13 +50,13 @@
 	});
 }
 
-/** Reads on until as many bytes have come as are wanted. */
-async function countBytes(socket: Socket, wanted: number): Promise<number> {
+/** Resumes reading; resolves with the number of received bytes once it reaches `expected`. */
+async function countBytes(socket: Socket, expected: number): Promise<number> {
 	let received = 0;
 	return new Promise(resolve => {
 		socket.on('data', bytes => {
 			received += bytes.length;
-			if (received >= wanted) {
+			if (received >= expected) {
 				resolve(received);
 			}
 		});
@@ -64,7 +64,7 @@
 	});
 }
 
-function open(store: DisposableStore, url: string): {socket: Socket; path: string} {
+function connectTo(store: DisposableStore, url: string): {socket: Socket; path: string} {
 	const {hostname, port, pathname} = new URL(url);
 	const socket = connect(Number(port), hostname);
 	socket.on('error', () => undefined);
@@ -74,7 +74,7 @@
 	return {socket, path: pathname};
 }
 
-describe('back pressure', () => {
+describe('backpressure', () => {
 	let store: DisposableStore;
 
 	beforeEach(() => {
@@ -85,52 +85,52 @@
 		store.dispose();
 	});
 
-	// A judge's slow line takes a film for an hour. The backend server sends as fast as it can, the VM keeps
-	// what the line has not taken, and a few such downloads end the process with everybody else's calls.
-	it('holds a backend server back while its caller takes nothing, and passes the rest on later', async () => {
-		let film: {sent: () => number} | undefined;
-		const port = await startRaw(store, socket => {
+	// Without backpressure a VM buffers all that a fast backend server sends to a slow caller; a few large downloads then exhaust
+	// its memory and end the process with all other calls.
+	it('stops reading from the backend server while the caller does not read, and delivers the rest later', async () => {
+		let writer: {sent: () => number} | undefined;
+		const port = await startRawServer(store, socket => {
 			socket.once('data', () => {
-				socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${filmBytes}\r\n\r\n`);
-				film = pour(socket);
+				socket.write(`HTTP/1.1 200 OK\r\ncontent-length: ${bodyBytes}\r\n\r\n`);
+				writer = writeBody(socket);
 			});
 		});
-		const front = await startFront(store, [port], {stallMilliseconds: patience});
-		const {socket, path} = open(store, front.url);
+		const front = await startFrontend(store, [port], {stallMilliseconds: longStallMilliseconds});
+		const {socket, path} = connectTo(store, front.url);
 		socket.write(`GET ${path}/film HTTP/1.1\r\nhost: test\r\n\r\n`);
 		const head = await firstBytes(socket);
 		socket.pause();
-		expect(await settled(() => film!.sent())).toBeLessThan(heldBytes);
-		const rest = filmBytes - (head.length - head.indexOf('\r\n\r\n') - 4);
+		expect(await waitUntilStable(() => writer!.sent())).toBeLessThan(maxBufferedBytes);
+		const rest = bodyBytes - (head.length - head.indexOf('\r\n\r\n') - 4);
 		expect(await countBytes(socket, rest)).toEqual(rest);
 	});
 
-	// The same the other way: footage is sent in to a backend server that takes it slowly.
-	it('holds a caller back while the backend server takes nothing', async () => {
+	// The same for an upload to a backend server that reads slowly.
+	it('stops reading from the caller while the backend server does not read', async () => {
 		let backend: Socket | undefined;
 		let received = 0;
-		const port = await startRaw(store, socket => {
+		const port = await startRawServer(store, socket => {
 			backend = socket;
 			socket.once('data', (first: Buffer) => {
 				received += first.length - first.indexOf('\r\n\r\n') - 4;
 				socket.pause();
 				socket.on('data', (bytes: Buffer) => {
 					received += bytes.length;
-					if (received >= filmBytes) {
+					if (received >= bodyBytes) {
 						socket.write('HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n');
 					}
 				});
 				socket.pause();
 			});
 		});
-		const front = await startFront(store, [port], {bodyBytes: filmBytes, stallMilliseconds: patience});
-		const {socket, path} = open(store, front.url);
-		socket.write(`PUT ${path}/film HTTP/1.1\r\nhost: test\r\njaydale-timeout-milliseconds: 60000\r\ncontent-length: ${filmBytes}\r\n\r\n`);
-		const film = pour(socket);
-		expect(await settled(() => film.sent())).toBeLessThan(heldBytes);
+		const front = await startFrontend(store, [port], {bodyBytes, stallMilliseconds: longStallMilliseconds});
+		const {socket, path} = connectTo(store, front.url);
+		socket.write(`PUT ${path}/film HTTP/1.1\r\nhost: test\r\njaydale-timeout-milliseconds: 60000\r\ncontent-length: ${bodyBytes}\r\n\r\n`);
+		const writer = writeBody(socket);
+		expect(await waitUntilStable(() => writer.sent())).toBeLessThan(maxBufferedBytes);
 		backend!.resume();
 		const answer = await firstBytes(socket);
 		expect(answer.toString('latin1').split('\r\n')[0]).toEqual('HTTP/1.1 200 OK');
-		expect(received).toEqual(filmBytes);
+		expect(received).toEqual(bodyBytes);
 	});
 });
--- a/src/node/front/idle-at-stop.test.ts
+++ b/src/node/front/idle-at-stop.test.ts
@@ -7,14 +7,14 @@
 
 const call = 'GET / HTTP/1.1\r\nhost: one.example\r\n\r\n';
 
-describe('a listener that ends idle connections', () => {
+describe('GracefulServer.closeIdleConnections', () => {
 	const owned = new DisposableStore();
 	after(() => {
 		owned.dispose();
 	});
 
-	/** A connection that the listener has accepted, after so many calls and their answers. */
-	async function open(calls: number): Promise<{server: GracefulServer; caller: Socket; read: () => string}> {
+	/** Opens a connection to a new server and completes this many calls on it. */
+	async function openConnection(calls: number): Promise<{server: GracefulServer; caller: Socket; read: () => string}> {
 		const server = owned.add(new GracefulServer({}, (_incoming, outgoing) => {
 			outgoing.end('answer');
 		}));
@@ -40,11 +40,11 @@
 		return {server, caller, read: () => text};
 	}
 
-	// Guards a call that is in the system's buffer against the end of idle connections.
+	// A call that is still in the kernel's receive buffer must not be lost when idle connections are closed.
 	for (const [calls, which] of [[0, 'the first call'], [1, 'the next call']] as const) {
-		it(`answers ${which} of a connection that was in before the end`, async () => {
-			const {server, caller, read} = await open(calls);
-			server.leave();
+		it(`answers ${which} of a connection if it was sent before the close`, async () => {
+			const {server, caller, read} = await openConnection(calls);
+			server.disableKeepAlive();
 			caller.write(call);
 			server.closeIdleConnections();
 			await once(caller, 'close');
@@ -52,13 +52,13 @@
 		});
 	}
 
-	// Guards the first call of a connection that is accepted while idle ones end.
-	it('answers the first call of a connection that it accepts while it ends idle ones', async () => {
-		const {server} = await open(0);
+	// A connection that is accepted while idle ones are closed must not lose its first call.
+	it('answers the first call of a connection that is accepted while idle ones are closed', async () => {
+		const {server} = await openConnection(0);
 		// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion -- a server on a port has such an address.
 		const {port} = server.address() as AddressInfo;
 		let text = '';
-		const late = new Promise<Socket>(resolve => {
+		const lateConnection = new Promise<Socket>(resolve => {
 			setImmediate(() => {
 				const caller = connect(port, '127.0.0.1');
 				owned.add(toDisposable(() => caller.destroy()));
@@ -70,9 +70,9 @@
 				resolve(caller);
 			});
 		});
-		server.leave();
+		server.disableKeepAlive();
 		server.closeIdleConnections();
-		await once(await late, 'close');
+		await once(await lateConnection, 'close');
 		expect(text.startsWith('HTTP/1.1 200')).toEqual(true);
 	});
 });
