--- a/benchmark/capacity/call-slopes.ts
+++ b/benchmark/capacity/call-slopes.ts
@@ -33,7 +33,7 @@
 	engine.handle({
 		type: 'shares',
 		shares: {
-			measuringPart: 0, measuringFrom: 0, measuringUntil: 0, connectionPart: 1, vmCount: 16,
+			loadProbeFraction: 0, loadProbesFrom: 0, loadProbesUntil: 0, connectionFraction: 1, vmCount: 16,
 		},
 	}, 0);
 	return engine;
--- a/benchmark/capacity/fleet-simulation.ts
+++ b/benchmark/capacity/fleet-simulation.ts
@@ -75,8 +75,8 @@
 			defaultPeerPort: 7003,
 			shareSlots: Math.ceil(count * 1.5),
 			shareLeaseMilliseconds: 15_000,
-			answerKeepMilliseconds: 5000,
-			smallestSubset: 16,
+			addressTtlMilliseconds: 5000,
+			minSubsetSize: 16,
 		}, seededRandom(index + 1), hash);
 		return {
 			index, engine, address: `${address}:7003`, version: 0, versionAt: 0, wakeUpAt: Infinity,
@@ -125,7 +125,7 @@
 				note: '',
 				when: '2026-01-01T00:00:00.000Z',
 				mutations: [{
-					type: 'put', resource: {...backendServerOf(change, services), isLeaving: true}, expectedVersion: undefined, freshIdentity: identityOf('new', change),
+					type: 'put', resource: {...backendServerOf(change, services), isLeaving: true}, expectedVersion: undefined, newResourceIdentity: identityOf('new', change),
 				}],
 			},
 		});
--- a/benchmark/capacity/observed-vm.ts
+++ b/benchmark/capacity/observed-vm.ts
@@ -74,8 +74,8 @@
 			defaultPeerPort: 7003,
 			shareSlots: Math.ceil(surroundings.vms * 1.5),
 			shareLeaseMilliseconds: 15_000,
-			answerKeepMilliseconds: 5000,
-			smallestSubset: 16,
+			addressTtlMilliseconds: 5000,
+			minSubsetSize: 16,
 		}, seededRandom(3), surroundings.hash);
 		this._feed({type: 'started'});
 		this._join();
--- a/benchmark/demand/demand-run.ts
+++ b/benchmark/demand/demand-run.ts
@@ -146,7 +146,7 @@
 		});
 		vm.feed({
 			type: 'shares', shares: {
-				measuringPart: 0, measuringFrom: 0, measuringUntil: 0, connectionPart: Math.min(1, 2 / this._scenario.vms), vmCount: this._scenario.vms,
+				loadProbeFraction: 0, loadProbesFrom: 0, loadProbesUntil: 0, connectionFraction: Math.min(1, 2 / this._scenario.vms), vmCount: this._scenario.vms,
 			},
 		});
 		vm.feed({
--- a/benchmark/path/front-only.ts
+++ b/benchmark/path/front-only.ts
@@ -13,9 +13,9 @@
 import {ProcessClock} from '../../src/node/clock.ts';
 import {BackendConnections} from '../../src/node/front/backend-connections.ts';
 import {DeciderLoop} from '../../src/node/decider-loop.ts';
-import {CallCarrier} from '../../src/node/front/call-carrier.ts';
+import {CallEffectExecutor} from '../../src/node/front/call-effect-executor.ts';
 import {CallerServer} from '../../src/node/front/caller-server.ts';
-import {LoadMeasurer} from '../../src/node/front/load-measurer.ts';
+import {HttpLoadProbeClient} from '../../src/node/front/http-load-probe-client.ts';
 
 type Options = {readonly 'backend-servers': string};
 
@@ -35,7 +35,7 @@
 	const connections = new BackendConnections({connectMilliseconds: 1000, idleMilliseconds: 30_000});
 	const engine = new DefaultCallEngine({random: seededRandom(1), settings: {dataCentre: 'bench-1'}});
 	const loop = new DeciderLoop(engine, clock);
-	const calls = new CallCarrier(loop, new LoadMeasurer(connections, new JaydaleDialect()), {
+	const calls = new CallEffectExecutor(loop, new HttpLoadProbeClient(connections, new JaydaleDialect()), {
 		claim(effect, sink) {
 			sink.feed({type: 'key-claimed', callId: effect.callId, claim: {type: 'unavailable'}});
 		},
@@ -43,7 +43,7 @@
 	});
 	loop.setCarrier(effect => {
 		if (effect.type !== 'tell-peers') {
-			calls.carryOut(effect);
+			calls.execute(effect);
 		}
 	});
 	loop.feed({
@@ -58,7 +58,7 @@
 	loop.feed({
 		type: 'shares',
 		shares: {
-			measuringPart: onePart, measuringFrom: 0, measuringUntil: distant, connectionPart: 1, vmCount: 1,
+			loadProbeFraction: onePart, loadProbesFrom: 0, loadProbesUntil: distant, connectionFraction: 1, vmCount: 1,
 		},
 	});
 	const server = new CallerServer({
--- a/benchmark/policy/baseline-engine.ts
+++ b/benchmark/policy/baseline-engine.ts
@@ -159,7 +159,7 @@
 			}
 
 			case 'measured': {
-				this._measured(event.measurementId, event.report);
+				this._measured(event.loadProbeId, event.report);
 				break;
 			}
 
@@ -194,14 +194,14 @@
 			this._servers.set(identity, server);
 			this._serversOfService.set(declared.service, [...(this._serversOfService.get(declared.service) ?? []), server]);
 			if (this._rule.measures) {
-				this._nextMeasure.add(Math.max(now, this._shares?.measuringFrom ?? 0) + (this._random.next() * this._spacing(server)), server);
+				this._nextMeasure.add(Math.max(now, this._shares?.loadProbesFrom ?? 0) + (this._random.next() * this._spacing(server)), server);
 			}
 		}
 	}
 
 	private _spacing(server: BaselineServer): number {
 		const {callsPerWindow, windowMilliseconds} = this._configuration!.services.get(server.declared.service)!.measuring;
-		const calls = Math.floor((this._shares?.measuringPart ?? 0) * callsPerWindow);
+		const calls = Math.floor((this._shares?.loadProbeFraction ?? 0) * callsPerWindow);
 		return (windowMilliseconds + 20) / calls;
 	}
 
@@ -270,9 +270,9 @@
 		});
 	}
 
-	private _measured(measurementId: number, report: LoadReport | undefined): void {
-		const server = this._measurements.get(measurementId);
-		this._measurements.delete(measurementId);
+	private _measured(loadProbeId: number, report: LoadReport | undefined): void {
+		const server = this._measurements.get(loadProbeId);
+		this._measurements.delete(loadProbeId);
 		if (server === undefined || report === undefined) {
 			return;
 		}
@@ -306,15 +306,15 @@
 		}
 
 		for (let server = this._nextMeasure.takeDue(now); server !== undefined; server = this._nextMeasure.takeDue(now)) {
-			if (this._shares === undefined || this._shares.measuringPart === 0) {
+			if (this._shares === undefined || this._shares.loadProbeFraction === 0) {
 				continue;
 			}
 
-			const measurementId = this._nextId++;
-			this._measurements.set(measurementId, server);
+			const loadProbeId = this._nextId++;
+			this._measurements.set(loadProbeId, server);
 			this._nextMeasure.add(now + this._spacing(server), server);
 			this._effects.push({
-				type: 'measure', measurementId, service: server.declared.service, path: '/load', identity: server.identity, address: server.declared.address, port: server.declared.port, timeoutMilliseconds: 20,
+				type: 'measure', loadProbeId, service: server.declared.service, path: '/load', identity: server.identity, address: server.declared.address, port: server.declared.port, timeoutMilliseconds: 20,
 			});
 		}
 	}
--- a/benchmark/policy/model-vm.ts
+++ b/benchmark/policy/model-vm.ts
@@ -233,7 +233,7 @@
 			this._around.onMeasure(effect.identity, time.now);
 			const report = this._around.serverOf(effect.identity).report();
 			time.at(time.now + latency, () => {
-				this.feed({type: 'measured', measurementId: effect.measurementId, report});
+				this.feed({type: 'measured', loadProbeId: effect.loadProbeId, report});
 			});
 		});
 	}
--- a/benchmark/policy/policies.ts
+++ b/benchmark/policy/policies.ts
@@ -20,20 +20,20 @@
 
 /** The engine with one mechanism set to its neutral value. */
 const withouts: Policy[] = Object.entries<Partial<CallTuning>>({
-	reports: {reportTrust: 0},
-	'aging-of-reports': {reportTrust: 1e6},
-	slowness: {slownessMemoryMilliseconds: 0.001},
+	reports: {reportLifetimeFactor: 0},
+	'aging-of-reports': {reportLifetimeFactor: 1e6},
+	slowness: {slownessDecayMilliseconds: 0.001},
 	overdue: {overdueFactor: Infinity},
 	'failure-penalty': {failurePenalty: 0},
-	'local-first': {remoteMilliseconds: 0, remoteReluctance: 0},
+	'local-first': {remoteRoundTripMilliseconds: 0, remotePenaltyFraction: 0},
 	'slow-start': {warmingMilliseconds: 0},
 	hedges: {hedgeQuantile: 1},
-	limit: {queuedPerSlot: Infinity},
+	limit: {targetQueuedPerSlot: Infinity},
 	priorities: {priorityFactor: 1},
-	'call-classes': {callClasses: 0},
-	'own-as-sample': {ownAsSample: 0},
-	'short-standing-queue': {standingMilliseconds: Infinity},
-	fairness: {isFair: false},
+	'call-classes': {maxCallClasses: 0},
+	'own-as-sample': {ownCallExtrapolation: 0},
+	'short-standing-queue': {standingQueueMilliseconds: Infinity},
+	fairness: {isFairQueue: false},
 }).map(([name, tuning]) => engine(`without-${name}`, 1, tuning));
 
 /** The engine at other weights of the tail, for the chart. */
--- a/benchmark/policy/simulation.ts
+++ b/benchmark/policy/simulation.ts
@@ -137,7 +137,7 @@
 		};
 	}
 
-	private _makeVm(index: number, measuringFrom: Instant): ModelVm {
+	private _makeVm(index: number, loadProbesFrom: Instant): ModelVm {
 		const dataCentre = dataCentres[index % dataCentres.length]!;
 		const random = seededRandom((this._seed * 1000) + this._engineCount++);
 		const vm: ModelVm = new ModelVm(this._policy.makeEngine(random, dataCentre), {
@@ -159,10 +159,10 @@
 		});
 		this._allVms.push(vm);
 		const shares: FleetShares = {
-			measuringPart: 1 / shareSlots,
-			measuringFrom,
-			measuringUntil: Infinity,
-			connectionPart: 1 / shareSlots,
+			loadProbeFraction: 1 / shareSlots,
+			loadProbesFrom,
+			loadProbesUntil: Infinity,
+			connectionFraction: 1 / shareSlots,
 			vmCount,
 		};
 		vm.feed({type: 'shares', shares});
@@ -189,14 +189,14 @@
 		this._vms[index]!.feed({
 			type: 'shares',
 			shares: {
-				measuringPart: 0, measuringFrom: now, measuringUntil: now, connectionPart: 1 / shareSlots, vmCount,
+				loadProbeFraction: 0, loadProbesFrom: now, loadProbesUntil: now, connectionFraction: 1 / shareSlots, vmCount,
 			},
 		});
 		const slot = this._slotFreeAt.findIndex((freeAt, candidate) => !this._slotOfVm.includes(candidate) && freeAt <= now);
 		const next = slot === -1 ? this._slotOfVm[index]! : slot;
-		const measuringFrom = Math.max(now, this._slotFreeAt[next]!);
+		const loadProbesFrom = Math.max(now, this._slotFreeAt[next]!);
 		this._slotOfVm[index] = next;
-		this._vms[index] = this._makeVm(index, measuringFrom);
+		this._vms[index] = this._makeVm(index, loadProbesFrom);
 	}
 
 	/** The calls of the run: the same for every policy under one seed. */
--- a/scripts/capacity-page.ts
+++ b/scripts/capacity-page.ts
@@ -9,7 +9,7 @@
 import {capacityResultsSchema} from '../benchmark/capacity/types.ts';
 import {controlResultsSchema} from '../benchmark/control/types.ts';
 import {pathResultsSchema} from '../benchmark/path/types.ts';
-import {historyCharacters, keptCharacters} from '../src/common/fleet/configuration/head.ts';
+import {maxHistoryCharacters, maxKeptCharacters} from '../src/common/fleet/configuration/head.ts';
 import {packageRoot} from '../src/stand-ins/program-files.ts';
 import {
 	loadedPart, Projection, smallestSubset, loadReadsPerSecond, type StoredResults,
@@ -123,7 +123,7 @@
 			`engine ${projection.formula('membership.engineCoreShare')} cores; gRPC ${transport.processorMicrosecondsPerMessage.toFixed(0)} µs a message`,
 			percent(projection.membershipCore),
 		),
-		row('watcher: bytes in besides', `changes × (${keptCharacters} to ${historyCharacters} bytes of the head)`, kilobytes(projection.watcherBytesPerSecond)),
+		row('watcher: bytes in besides', `changes × (${maxKeptCharacters} to ${maxHistoryCharacters} bytes of the head)`, kilobytes(projection.watcherBytesPerSecond)),
 	];
 }
 
--- a/scripts/capacity-projection.ts
+++ b/scripts/capacity-projection.ts
@@ -3,7 +3,7 @@
 import {daySeconds, target} from '../benchmark/capacity/sizes.ts';
 import {type CapacityResults} from '../benchmark/capacity/types.ts';
 import {type PairedResult, type PathResults} from '../benchmark/path/types.ts';
-import {historyCharacters, keptCharacters} from '../src/common/fleet/configuration/head.ts';
+import {maxHistoryCharacters, maxKeptCharacters} from '../src/common/fleet/configuration/head.ts';
 
 /** A VM is loaded up to this part of its measured saturation. */
 export const loadedPart = 0.6;
@@ -144,7 +144,7 @@
 
 	/** The head is sent whole with each change; its history moves between the kept and the largest length. */
 	get watcherBytesPerSecond(): number {
-		return this.changesPerSecond * (keptCharacters + historyCharacters) / 2;
+		return this.changesPerSecond * (maxKeptCharacters + maxHistoryCharacters) / 2;
 	}
 }
 
--- a/src/cli/commands/edit.ts
+++ b/src/cli/commands/edit.ts
@@ -17,7 +17,7 @@
 } from '../session.ts';
 import {type CommandCall, type CommandDefinition} from '../types.ts';
 import {readResourceKey} from './parameters.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {tellWrongInput} from './report-invalid-input.ts';
 
 export const editCommand: CommandDefinition = {
 	usage: 'edit <kind> <name>',
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,5 +1,5 @@
 /** `jaydale explain`: the story of one call from the logs of all VMs. */
-import {tellCall} from '../call-story.ts';
+import {tellCall} from '../call-trace.ts';
 import {exitCodes} from '../exit-codes.ts';
 import {type CommandDefinition} from '../types.ts';
 
--- a/src/cli/commands/get.ts
+++ b/src/cli/commands/get.ts
@@ -13,7 +13,7 @@
 import {
 	readKind, readResourceKey, readWord, type ParameterFailure,
 } from './parameters.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {tellWrongInput} from './report-invalid-input.ts';
 
 const formats = ['table', 'json', 'toml'] as const;
 type Format = (typeof formats)[number];
--- a/src/cli/commands/history.ts
+++ b/src/cli/commands/history.ts
@@ -1,7 +1,7 @@
 /** `jaydale history`: the latest changes. */
 import {historySchema, operationStateSchema, type ChangeRecord} from '../../node/api/types.ts';
 import {type ApiClient} from '../api-client.ts';
-import {describeChanges} from '../describe-changes.ts';
+import {describeChanges} from '../format-changes.ts';
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {
 	formatOption, inSession, sessionOptions, tellAnswer, tellReadFailure,
--- a/src/cli/commands/log-level.ts
+++ b/src/cli/commands/log-level.ts
@@ -8,7 +8,7 @@
 } from '../session.ts';
 import {type CommandCall, type CommandDefinition} from '../types.ts';
 import {readWord} from './parameters.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {tellWrongInput} from './report-invalid-input.ts';
 
 const levels = settingsSchema.shape.log.unwrap().shape.level.unwrap().options;
 
--- a/src/cli/commands/tell-wrong-input.ts
+++ b/src/cli/commands/report-invalid-input.ts
@@ -1,6 +1,6 @@
 /** Tells of input that is not allowed. */
 import {type Failure} from '../../common/errors/failure.ts';
-import {describeForPeople} from '../describe-for-people.ts';
+import {describeForPeople} from '../format-failure.ts';
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {type Terminal} from '../types.ts';
 
--- a/src/cli/commands/serve.ts
+++ b/src/cli/commands/serve.ts
@@ -4,8 +4,8 @@
 import {loadSettings, loadTokens} from '../../node/settings/load-settings.ts';
 import {type ExitCode} from '../exit-codes.ts';
 import {type CommandDefinition} from '../types.ts';
-import {describeForPeople} from '../describe-for-people.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {describeForPeople} from '../format-failure.ts';
+import {tellWrongInput} from './report-invalid-input.ts';
 
 /** Runs the daemon until its planned stop has ended. Loaded when needed: the other commands start faster without it. */
 export type RunDaemon = (settings: Settings, tokens: readonly OperatorToken[]) => Promise<ExitCode>;
--- a/src/cli/commands/settings-check.ts
+++ b/src/cli/commands/settings-check.ts
@@ -1,6 +1,6 @@
 /** `jaydale settings check`: finds every fault of a settings file without starting anything. */
 import {loadSettings} from '../../node/settings/load-settings.ts';
-import {describeForPeople} from '../describe-for-people.ts';
+import {describeForPeople} from '../format-failure.ts';
 import {exitCodes} from '../exit-codes.ts';
 import {type CommandDefinition} from '../types.ts';
 
--- a/src/cli/commands/watch.ts
+++ b/src/cli/commands/watch.ts
@@ -1,7 +1,7 @@
 /** `jaydale watch`: changes as they come into force. */
 import {watchUpdateSchema, type ChangeRecord, type WatchUpdate} from '../../node/api/types.ts';
 import {type ApiClient} from '../api-client.ts';
-import {describeChanges} from '../describe-changes.ts';
+import {describeChanges} from '../format-changes.ts';
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {
 	formatOption, inSession, sessionOptions, tellReadFailure,
--- a/src/cli/session.ts
+++ b/src/cli/session.ts
@@ -4,7 +4,7 @@
 import {problemTypePrefix} from '../common/protocol/headers.ts';
 import {type Problem} from '../node/api/types.ts';
 import {ApiClient, type ClientFailure} from './api-client.ts';
-import {describeForPeople} from './describe-for-people.ts';
+import {describeForPeople} from './format-failure.ts';
 import {exitCodes, type ExitCode} from './exit-codes.ts';
 import {type CommandCall, type OptionDefinition, type Terminal} from './types.ts';
 
--- a/src/common/calls/admission.ts
+++ b/src/common/calls/admission.ts
@@ -3,13 +3,13 @@
 import {type AttemptRunner} from './attempt-runner.ts';
 import {type Call, objectiveOf} from './call.ts';
 import {type CallEndings} from './call-endings.ts';
-import {isImpatient} from './demand-placer.ts';
+import {isWaitOver} from './demand-placer.ts';
 import {type EngineContext} from './engine-context.ts';
-import {whenLimitsAllow} from './placer.ts';
+import {nextAllowedAt} from './placer.ts';
 import {type ServiceState} from './service-state.ts';
 
 /**
- * On-demand measuring: maximum wait as a fraction of the call's objective. A caller that is refused within a third of its
+ * On-demand probing: maximum wait as a fraction of the call's objective. A caller that is refused within a third of its
  * objective can still be answered in time on a retry; one that is held longer cannot.
  */
 const maxWaitFraction = 0.33;
@@ -36,7 +36,7 @@
 		this._context = context;
 		this._runner = runner;
 		this._endings = endings;
-		runner.setQueue((call, now) => {
+		runner.setEnqueue((call, now) => {
 			this._enqueue(call, now);
 		});
 	}
@@ -78,7 +78,7 @@
 		}
 
 		if (service.queue.size === 0) {
-			service.standingSince = undefined;
+			service.queueNonEmptySince = undefined;
 		} else {
 			this._scheduleQueueCheck(service, now);
 		}
@@ -119,13 +119,13 @@
 		}
 
 		// The rate limits allow no attempt before the latest start, so waiting would only cost the caller time.
-		if (whenLimitsAllow(this._context, service, now) > Math.max(now, latestStart(call))) {
+		if (nextAllowedAt(this._context, service, now) > Math.max(now, latestStart(call))) {
 			this._runner.noteGrounds(call, now);
 			this._endings.refuse(call, 'overloaded', now);
 			return;
 		}
 
-		if (service.isMeasuredOnDemand && isImpatient(call, now)) {
+		if (service.isMeasuredOnDemand && isWaitOver(call, now)) {
 			this._endings.refuse(call, 'overloaded', now);
 			return;
 		}
@@ -137,10 +137,10 @@
 
 		call.state = 'queued';
 		service.queue.add(call);
-		service.standingSince ??= now;
+		service.queueNonEmptySince ??= now;
 		this._scheduleQueueCheck(service, now);
 		if (service.queue.size > service.declared.queueLimit) {
-			this._endings.refuse(service.queue.latestOfGreediest()!, 'queue-full', now);
+			this._endings.refuse(service.queue.newestOfLargestCaller()!, 'queue-full', now);
 		}
 
 		if (call.state === 'queued') {
@@ -150,8 +150,8 @@
 
 	/** Room on backend servers that other VMs use too appears without an event on this VM, so a timer checks for it. */
 	private _scheduleQueueCheck(service: ServiceState, now: Instant): void {
-		if (service.isMeasuredOnDemand && !service.isLookPlanned) {
-			service.isLookPlanned = true;
+		if (service.isMeasuredOnDemand && !service.isQueueCheckScheduled) {
+			service.isQueueCheckScheduled = true;
 			this._context.timers.add(now + queueCheckMilliseconds, {type: 'queue-look', service});
 		}
 	}
@@ -163,15 +163,15 @@
 			return service.queue.size >= callsPerQueueCheck * (latestStart(call) - now) / queueCheckMilliseconds;
 		}
 
-		const wait = service.waitFor(service.queue.aheadOf(call.request.caller) + 1);
+		const wait = service.estimateWait(service.queue.aheadOf(call.request.caller) + 1);
 		return wait > this._acceptableWait(call, call.deadline - now, now);
 	}
 
 	private _acceptableWait(call: Call, remaining: number, now: Instant): number {
-		const {standingSince} = call.serviceState;
-		const {standingMilliseconds, standingWaitPart} = this._context.tuning;
-		const isStanding = standingSince !== undefined && now - standingSince > standingMilliseconds;
-		return (remaining - call.class.answerMean) * (isStanding ? standingWaitPart : 1);
+		const {queueNonEmptySince} = call.serviceState;
+		const {standingQueueMilliseconds, standingQueueWaitFraction} = this._context.tuning;
+		const isStanding = queueNonEmptySince !== undefined && now - queueNonEmptySince > standingQueueMilliseconds;
+		return (remaining - call.class.answerMean) * (isStanding ? standingQueueWaitFraction : 1);
 	}
 
 	/** While other callers wait, one caller may not hold more than its share of the concurrency limit. */
--- a/src/common/calls/answer-time-model.test.ts
+++ b/src/common/calls/answer-time-model.test.ts
@@ -1,14 +1,14 @@
 import {expect} from 'earl';
 import {seededRandom} from '../random/random.ts';
-import {AnswerTimeModel, type Prospect} from './answer-time-model.ts';
+import {AnswerTimeModel, type LoadSnapshot} from './answer-time-model.ts';
 import {Headroom} from './headroom.ts';
 
 const work = 160;
-const quiet: Prospect = {
-	load: 1, slots: 3, workTimeFactor: 1, age: 0,
+const quiet: LoadSnapshot = {
+	load: 1, slots: 3, workTimeFactor: 1, reportAge: 0,
 };
-const lastSlot: Prospect = {...quiet, load: 3};
-const neighbours: Prospect = {...quiet, workTimeFactor: 4};
+const lastSlot: LoadSnapshot = {...quiet, load: 3};
+const neighbours: LoadSnapshot = {...quiet, workTimeFactor: 4};
 
 /**
  * A model trained with answers of a server whose last slot takes `slowdown` times longer, with a lognormal residual of
@@ -44,7 +44,7 @@
 	// Guards the calls of a VM that has just started against wrong estimates before any sample.
 	it('gives plausible probabilities before the first sample', () => {
 		const model = new AnswerTimeModel();
-		const chances = [quiet, lastSlot, neighbours].map(prospect => model.chance(work, prospect, 400));
+		const chances = [quiet, lastSlot, neighbours].map(prospect => model.probabilityWithin(work, prospect, 400));
 		expect([chances[0]! > 0.97, chances[1]! > 0.85 && chances[1]! < 0.97, chances[2]! < 0.15]).toEqual([true, true, true]);
 	});
 
@@ -52,7 +52,7 @@
 		it(`is within 0.08 of the true probability if the last slot takes ${slowdown} times as long and the spread is ${spread}`, () => {
 			const model = trainedModel(slowdown, spread, 200);
 			for (const within of [200, 300, 400]) {
-				const difference = Math.abs(model.chance(work, lastSlot, within) - fractionBelow(work * slowdown, spread, within));
+				const difference = Math.abs(model.probabilityWithin(work, lastSlot, within) - fractionBelow(work * slowdown, spread, within));
 				expect(difference).toBeLessThanOrEqual(0.08);
 			}
 		});
@@ -73,19 +73,19 @@
 			model.addReport(index % 4 === 0 ? 4 : 1, index % 8 === 0 ? 1 : (index % 4 === 0 ? 4 : 1), 100);
 		}
 
-		const fresh = model.chance(work, quiet, 400);
-		const old = model.chance(work, {...quiet, age: 300}, 400);
-		expect([fresh - old > 0.08, model.chance(work, {...quiet, age: 3000}, 400) >= 0.65]).toEqual([true, true]);
+		const fresh = model.probabilityWithin(work, quiet, 400);
+		const old = model.probabilityWithin(work, {...quiet, reportAge: 300}, 400);
+		expect([fresh - old > 0.08, model.probabilityWithin(work, {...quiet, reportAge: 3000}, 400) >= 0.65]).toEqual([true, true]);
 	});
 
 	it('ignores answers that were delayed by a fault', () => {
 		const model = new AnswerTimeModel();
-		const before = model.chance(work, quiet, 400);
+		const before = model.probabilityWithin(work, quiet, 400);
 		for (let index = 0; index < 50; index++) {
 			model.addAnswer(work, quiet, 60 * work);
 		}
 
-		expect(model.chance(work, quiet, 400)).toEqual(before);
+		expect(model.probabilityWithin(work, quiet, 400)).toEqual(before);
 	});
 });
 
@@ -103,6 +103,6 @@
 			full.add(report % 4 === 0 ? roomy : {...roomy, inFlight: 3});
 		}
 
-		expect([new Headroom().probes(4), calm.probes(4), full.probes(4)]).toEqual([4, 2, 4]);
+		expect([new Headroom().probeCount(4), calm.probeCount(4), full.probeCount(4)]).toEqual([4, 2, 4]);
 	});
 });
--- a/src/common/calls/answer-time-model.ts
+++ b/src/common/calls/answer-time-model.ts
@@ -4,17 +4,17 @@
  */
 import {type Milliseconds} from '../model/units.ts';
 import {MovingAverage} from './moving-average.ts';
-import {roomyPart, slowFrom} from './load-levels.ts';
+import {lightLoadFraction, slowWorkTimeFactor} from './load-levels.ts';
 
 /** Load of a backend server at the moment when a call is placed. */
-export type Prospect = {
+export type LoadSnapshot = {
 	/** Calls there, including this one. */
 	readonly load: number;
 	readonly slots: number;
 	/** Reported work time relative to the usual one; undefined = none reported. */
 	readonly workTimeFactor: number | undefined;
 	/** Age of that report. */
-	readonly age: Milliseconds;
+	readonly reportAge: Milliseconds;
 };
 
 /**
@@ -62,12 +62,12 @@
 
 type LoadLevel = keyof typeof initialSlowdowns;
 
-function loadLevelOf({load, slots}: Prospect): LoadLevel {
+function loadLevelOf({load, slots}: LoadSnapshot): LoadLevel {
 	if (load > slots) {
 		return 'queued';
 	}
 
-	return load <= roomyPart * slots ? 'few' : 'full';
+	return load <= lightLoadFraction * slots ? 'few' : 'full';
 }
 
 /** Cumulative normal distribution (Abramowitz and Stegun 26.2.16, accurate to 1e-5). */
@@ -103,7 +103,7 @@
 	}
 
 	/** Probability of an answer within the time `within`. */
-	chance(work: Milliseconds, snapshot: Prospect, within: Milliseconds): number {
+	probabilityWithin(work: Milliseconds, snapshot: LoadSnapshot, within: Milliseconds): number {
 		if (within <= 0) {
 			return 0;
 		}
@@ -115,24 +115,24 @@
 			return unreported();
 		}
 
-		const confidence = this._reportConfidence(snapshot.age);
+		const confidence = this._reportConfidence(snapshot.reportAge);
 		return (confidence * this._lognormalProbability(base * reportedFactor, within)) + (confidence > 0.99 ? 0 : (1 - confidence) * unreported());
 	}
 
 	/** Mean answer time. */
-	mean(work: Milliseconds, snapshot: Prospect): Milliseconds {
+	mean(work: Milliseconds, snapshot: LoadSnapshot): Milliseconds {
 		const base = work * this._slowdowns[loadLevelOf(snapshot)].value * this._queueingFactor(snapshot);
 		const unreported = 1 + (this.slowFraction * (this._slowFactor.value - 1));
-		const confidence = snapshot.workTimeFactor === undefined ? 0 : this._reportConfidence(snapshot.age);
+		const confidence = snapshot.workTimeFactor === undefined ? 0 : this._reportConfidence(snapshot.reportAge);
 		return base * ((confidence * (snapshot.workTimeFactor ?? 0)) + ((1 - confidence) * unreported));
 	}
 
 	/** Learns from the answer time of an attempt that was placed with this snapshot. */
-	addAnswer(work: Milliseconds, snapshot: Prospect, time: Milliseconds): void {
+	addAnswer(work: Milliseconds, snapshot: LoadSnapshot, time: Milliseconds): void {
 		const factor = snapshot.workTimeFactor;
 		// The time of a call on a slow backend server, or on one with an old report, is dominated by neighbours and says
 		// nothing about the effect of load.
-		if (factor === undefined || factor >= slowFrom || this._reportConfidence(snapshot.age) < 0.9 || work <= 0 || time <= 0) {
+		if (factor === undefined || factor >= slowWorkTimeFactor || this._reportConfidence(snapshot.reportAge) < 0.9 || work <= 0 || time <= 0) {
 			return;
 		}
 
@@ -156,14 +156,14 @@
 			return;
 		}
 
-		const isSlow = factor >= slowFrom;
+		const isSlow = factor >= slowWorkTimeFactor;
 		this._slowFraction.add(isSlow ? 1 : 0);
 		if (isSlow) {
 			this._slowFactor.add(factor);
 		}
 
 		if (previous !== undefined && gap >= minReportGapMilliseconds && gap <= maxReportGapMilliseconds) {
-			this._changeRate.add((previous >= slowFrom) === isSlow ? 0 : this._ratePerChange(gap));
+			this._changeRate.add((previous >= slowWorkTimeFactor) === isSlow ? 0 : this._ratePerChange(gap));
 		}
 	}
 
@@ -175,12 +175,12 @@
 		return 1 / (gap * Math.max(0.1, 2 * this.slowFraction * (1 - this.slowFraction)));
 	}
 
-	private _reportConfidence(age: Milliseconds): number {
-		return Math.exp(-Math.max(0, age) * this._changeRate.value);
+	private _reportConfidence(reportAge: Milliseconds): number {
+		return Math.exp(-Math.max(0, reportAge) * this._changeRate.value);
 	}
 
 	/** A queued call waits for as many calls to end as are ahead of it. */
-	private _queueingFactor({load, slots}: Prospect): number {
+	private _queueingFactor({load, slots}: LoadSnapshot): number {
 		return 1 + (Math.max(0, load - slots - 1) / Math.max(1, slots));
 	}
 
--- a/src/common/calls/attempt-runner.ts
+++ b/src/common/calls/attempt-runner.ts
@@ -7,11 +7,11 @@
 import {type CallEndings} from './call-endings.ts';
 import {learnFromAnswer} from './answer-learning.ts';
 import {type EngineContext, vmCountOf} from './engine-context.ts';
-import {type HealthJudge} from './health-judge.ts';
-import {Hedging, mostAttempts} from './hedging.ts';
+import {type OutlierDetector} from './outlier-detector.ts';
+import {Hedging, maxAttempts} from './hedging.ts';
 import {type DemandPlacer} from './demand-placer.ts';
 import {
-	type Placement, type Placer, connectionLimit, shareOfLimit,
+	type Placement, type Placer, connectionLimit, rateLimitShare,
 } from './placer.ts';
 import {LoadProber, type PendingProbes} from './load-prober.ts';
 import {
@@ -47,7 +47,7 @@
 	readonly context: EngineContext;
 	readonly attempts: Map<AttemptId, Attempt>;
 	readonly placer: Placer;
-	readonly health: HealthJudge;
+	readonly outlierDetector: OutlierDetector;
 	/** Applies a load report and sends a changed process or the beginning of leaving to the other VMs. */
 	readonly onReport: (server: BackendServerState, report: LoadReport, now: Instant) => void;
 	/** Applies the rate limit in the answer to an attempt, or its absence. */
@@ -55,14 +55,14 @@
 	/** Chooses backend servers for services with on-demand load probes. */
 	readonly demandPlacer: DemandPlacer;
 	/** Sends a load probe. */
-	readonly measure: (server: BackendServerState) => void;
+	readonly startLoadProbe: (server: BackendServerState) => void;
 };
 
 export class AttemptRunner {
 	private readonly _context: EngineContext;
 	private readonly _attempts: Map<AttemptId, Attempt>;
 	private readonly _placer: Placer;
-	private readonly _outlierDetector: HealthJudge;
+	private readonly _outlierDetector: OutlierDetector;
 	private readonly _onReport: AttemptRunnerOptions['onReport'];
 	private readonly _onRateLimit: AttemptRunnerOptions['onRateLimit'];
 	private readonly _demandPlacer: DemandPlacer;
@@ -78,7 +78,7 @@
 		this._context = options.context;
 		this._attempts = options.attempts;
 		this._placer = options.placer;
-		this._outlierDetector = options.health;
+		this._outlierDetector = options.outlierDetector;
 		this._onReport = options.onReport;
 		this._onRateLimit = options.onRateLimit;
 		this._demandPlacer = options.demandPlacer;
@@ -86,7 +86,7 @@
 		this.prober = new LoadProber({
 			context: options.context,
 			placer: options.demandPlacer,
-			measure: options.measure,
+			sendProbe: options.startLoadProbe,
 			onReady: (call, probing, now) => {
 				this._startProbed(call, probing, now);
 			},
@@ -99,7 +99,7 @@
 	}
 
 	/** Sets the function that queues a call for which no backend server was found; `Admission` provides it. */
-	setQueue(enqueueCall: (call: Call, now: Instant) => void): void {
+	setEnqueue(enqueueCall: (call: Call, now: Instant) => void): void {
 		this._enqueueCall = enqueueCall;
 	}
 
@@ -126,7 +126,7 @@
 	/** Records why no backend server can be chosen for a call that is about to be refused. */
 	noteGrounds(call: Call, now: Instant): void {
 		if (call.serviceState.isMeasuredOnDemand) {
-			this._demandPlacer.noteGrounds(call, now);
+			this._demandPlacer.recordGrounds(call, now);
 		}
 	}
 
@@ -180,7 +180,7 @@
 	}
 
 	/** Removes an attempt that has ended or was cancelled. Does nothing if it was removed before. */
-	drop(attempt: Attempt): void {
+	remove(attempt: Attempt): void {
 		if (!this._attempts.delete(attempt.id)) {
 			return;
 		}
@@ -189,8 +189,8 @@
 		call.attempts.delete(attempt);
 		server.attempts.delete(attempt);
 		server.suspectsInFlight -= attempt.isSuspect ? 1 : 0;
-		call.serviceState.noteEnded(call.request.caller);
-		this._context.freed.add(call.serviceState);
+		call.serviceState.recordAttemptEnd(call.request.caller);
+		this._context.servicesToDrain.add(call.serviceState);
 	}
 
 	onHead(attempt: Attempt, event: HeadEvent, now: Instant): void {
@@ -207,8 +207,8 @@
 
 		if (event.isDeclaredNotRun) {
 			call.serviceState.limit.onShed();
-			server.noteTaken(false, now);
-			call.wasShedWithRoom ||= attempt.prospect.load <= attempt.prospect.slots;
+			server.recordAcceptance(false, now);
+			call.wasShedWithFreeSlot ||= attempt.loadSnapshot.load <= attempt.loadSnapshot.slots;
 			this._cancelShedAttempt(attempt, event.isReplayable ?? isBodiless(call.request), 'overloaded', now);
 			return;
 		}
@@ -223,8 +223,8 @@
 		if (hasFailed && this._shouldRetryServerError(attempt, event)) {
 			call.mayHaveRun = true;
 			this._context.effects.push({type: 'cancel-attempt', attemptId: attempt.id});
-			this.drop(attempt);
-			call.failedOn.add(server);
+			this.remove(attempt);
+			call.failedServers.add(server);
 			if (call.attempts.size > 0 || this.start(call, 'retry', now, 'backend-server-failed')) {
 				return;
 			}
@@ -248,27 +248,27 @@
 		call.class.addBytes(bytes);
 		call.class.addHold(now - attempt.startedAt);
 		call.serviceState.classes.all.addHold(now - attempt.startedAt);
-		this.drop(attempt);
-		this._context.suspects.clear(call.request.fingerprint, now);
+		this.remove(attempt);
+		this._context.suspects.clearSuspect(call.request.fingerprint, now);
 		this._getEndings().end(call, outcomeSoFar(call), undefined, now);
 	}
 
 	onFailed(attempt: Attempt, event: FailedEvent, now: Instant): void {
 		const {call} = attempt;
-		call.serviceState.noteAnswer(true);
+		call.serviceState.recordAnswer(true);
 		this._outlierDetector.onAttemptFailed(attempt, event.failure, now);
-		if (call.answering?.attempt === attempt || attempt.purpose === 'resume') {
-			this.drop(attempt);
-			call.failedOn.add(attempt.server);
+		if (call.forwardedAnswer?.attempt === attempt || attempt.purpose === 'resume') {
+			this.remove(attempt);
+			call.failedServers.add(attempt.server);
 			this._resumeOrBreakOff(call, event, now);
 			return;
 		}
 
 		const isProvenNotRun = notRunFailures.has(event.failure);
 		call.mayHaveRun ||= !isProvenNotRun;
-		call.resets += event.failure === 'reset-after-sending' ? 1 : 0;
-		this.drop(attempt);
-		call.failedOn.add(attempt.server);
+		call.resetCount += event.failure === 'reset-after-sending' ? 1 : 0;
+		this.remove(attempt);
+		call.failedServers.add(attempt.server);
 		this._retryOrRefuse(call, event.isReplayable, call.mayHaveRun ? 'outcome-unknown' : 'backend-server-failed', now);
 	}
 
@@ -287,7 +287,7 @@
 	}
 
 	private _recordAttempt(call: Call, purpose: AttemptPurpose, placement: Placement, now: Instant): Attempt {
-		const {server, isExperiment} = placement;
+		const {server, isTrial} = placement;
 		const isSuspect = this._context.suspects.isSuspect(call.request.fingerprint);
 		const attempt: Attempt = {
 			id: this._nextId++,
@@ -295,10 +295,10 @@
 			server,
 			purpose,
 			startedAt: now,
-			signal: server.signalAt(now, call.serviceState.usualOthers(vmCountOf(this._context)), call.serviceState.classes.all.holdMean),
-			prospect: this._demandPlacer.prospect(server, now),
-			instance: server.process,
-			isExperiment,
+			reportedExcess: server.reportedExcessAt(now, call.serviceState.meanCallsOfOtherVms(vmCountOf(this._context)), call.serviceState.classes.all.holdMean),
+			loadSnapshot: this._demandPlacer.loadSnapshot(server, now),
+			instance: server.processIdentity,
+			isTrial,
 			isSuspect,
 			isWarmUp: server.warmUp.isUnderWay(now),
 			isSent: false,
@@ -322,15 +322,15 @@
 		server.attempts.add(attempt);
 		server.suspectsInFlight += isSuspect ? 1 : 0;
 		if (call.serviceState.warmUp !== undefined) {
-			server.noteStart(now);
+			server.recordStart(now);
 		}
 
-		const share = shareOfLimit(server, this._context, now);
+		const share = rateLimitShare(server, this._context, now);
 		if (share !== undefined) {
 			server.rateLimit.take(share, now);
 		}
 
-		call.serviceState.noteStarted(call.request.caller);
+		call.serviceState.recordAttemptStart(call.request.caller);
 		return attempt;
 	}
 
@@ -345,7 +345,7 @@
 	}
 
 	private _recordAnswer(attempt: Attempt, hasFailed: boolean, report: LoadReport | undefined, now: Instant): void {
-		attempt.call.serviceState.noteAnswer(hasFailed);
+		attempt.call.serviceState.recordAnswer(hasFailed);
 		if (hasFailed) {
 			this._outlierDetector.onServerError(attempt, now);
 		} else {
@@ -356,10 +356,10 @@
 	private _forwardAnswer(attempt: Attempt, event: HeadEvent, outcome: CallOutcome, now: Instant): void {
 		const {call} = attempt;
 		attempt.hasHead = true;
-		this._outlierDetector.beforeCancel(call, attempt, now);
+		this._outlierDetector.onAttemptsSuperseded(call, attempt, now);
 		this._getEndings().cancelAttempts(call, attempt);
 		call.state = 'answering';
-		call.answering = {
+		call.forwardedAnswer = {
 			attempt, status: event.status, outcome, validator: event.validator,
 		};
 		this._context.effects.push({
@@ -369,7 +369,7 @@
 
 	private _shouldRetryServerError(attempt: Attempt, event: HeadEvent): boolean {
 		const {call, server} = attempt;
-		const isServerFault = retryableStatuses.has(event.status) || server.failuresInRow >= 2 || call.serviceState.failing < maxServiceFailureRate;
+		const isServerFault = retryableStatuses.has(event.status) || server.failuresInRow >= 2 || call.serviceState.failureRate < maxServiceFailureRate;
 		return isServerFault && call.isIdempotent && (call.attempts.size > 1 || this._mayRetry(call, event.isReplayable ?? isBodiless(call.request)));
 	}
 
@@ -377,10 +377,10 @@
 	private _cancelShedAttempt(attempt: Attempt, isReplayable: boolean, reason: RefusalReason, now: Instant): void {
 		const {call} = attempt;
 		this._context.effects.push({type: 'cancel-attempt', attemptId: attempt.id});
-		this.drop(attempt);
-		call.failedOn.add(attempt.server);
+		this.remove(attempt);
+		call.failedServers.add(attempt.server);
 		if (attempt.purpose === 'resume') {
-			this._getEndings().breakOff(call, now);
+			this._getEndings().abortAnswer(call, now);
 			return;
 		}
 
@@ -403,7 +403,7 @@
 
 	/** Whether the rules and the retry budget allow one more attempt; if so, takes a token from the budget. */
 	private _mayRetry(call: Call, isReplayable: boolean): boolean {
-		return isReplayable && call.request.mayRetry && call.attemptCount < Math.min(mostAttempts, call.request.rule?.mostAttempts ?? mostAttempts) && call.resets < maxResets
+		return isReplayable && call.request.mayRetry && call.attemptCount < Math.min(maxAttempts, call.request.rule?.maxAttempts ?? maxAttempts) && call.resetCount < maxResets
 			&& call.serviceState.retryBudget.tryTake();
 	}
 
@@ -412,30 +412,30 @@
 	 * with the same validator is accepted, since anything else could join parts of two versions.
 	 */
 	private _resumeOrBreakOff(call: Call, event: FailedEvent, now: Instant): void {
-		const {answering} = call;
-		const isResumable = answering?.status === 200 && answering.validator !== undefined && call.isIdempotent && call.request.method === 'GET';
+		const {forwardedAnswer} = call;
+		const isResumable = forwardedAnswer?.status === 200 && forwardedAnswer.validator !== undefined && call.isIdempotent && call.request.method === 'GET';
 		if (isResumable && this._mayRetry(call, true)) {
-			const resume = {offset: event.bytesPassedOn, validator: answering.validator};
+			const resume = {offset: event.bytesPassedOn, validator: forwardedAnswer.validator};
 			if (this._launch(call, 'resume', now, resume)) {
 				return;
 			}
 		}
 
-		this._getEndings().breakOff(call, now);
+		this._getEndings().abortAnswer(call, now);
 	}
 
 	private _onResumedHead(attempt: Attempt, event: HeadEvent, now: Instant): void {
 		const {call} = attempt;
-		const forwarded = call.answering!;
+		const forwarded = call.forwardedAnswer!;
 		if (event.status !== partialContentStatus || event.validator !== forwarded.validator) {
 			this._getEndings().cancelAttempts(call);
-			this._getEndings().breakOff(call, now);
+			this._getEndings().abortAnswer(call, now);
 			return;
 		}
 
 		attempt.hasHead = true;
 		attempt.server.lastAnswerAt = now;
-		call.answering = {...forwarded, attempt};
+		call.forwardedAnswer = {...forwarded, attempt};
 		this._context.effects.push({
 			type: 'pass-on', callId: call.request.callId, attemptId: attempt.id, outcome: forwarded.outcome,
 		});
--- a/src/common/calls/backend-server-state.test.ts
+++ b/src/common/calls/backend-server-state.test.ts
@@ -18,10 +18,10 @@
 		// the crash. When a peer reports that the new process is leaving, this VM must not attribute the signal to an earlier
 		// process: it would place calls on the leaving process until it ends.
 		const state = new BackendServerState('identity-1', declared, defaultTuning, 0);
-		state.takeReport(report('first'), 0, 0);
-		state.takeLeaving('second', 10);
+		state.applyReport(report('first'), 0, 0);
+		state.applyLeavingSign('second', 10);
 		expect(state.isLeaving).toEqual(true);
-		state.takeReport(report('first'), 12, 12);
+		state.applyReport(report('first'), 12, 12);
 		expect(state.isLeaving).toEqual(true);
 	});
 
@@ -29,10 +29,10 @@
 		// A backend server leaves and returns at the same address. A slow peer repeats the old signal; the new process must
 		// keep getting calls.
 		const state = new BackendServerState('identity-1', declared, defaultTuning, 0);
-		state.takeReport(report('first'), 0, 0);
-		state.takeLeaving('first', 10);
-		state.takeReport(report('second'), 20, 20);
-		state.takeLeaving('first', 30);
+		state.applyReport(report('first'), 0, 0);
+		state.applyLeavingSign('first', 10);
+		state.applyReport(report('second'), 20, 20);
+		state.applyLeavingSign('first', 30);
 		expect(state.isLeaving).toEqual(false);
 	});
 
@@ -41,9 +41,9 @@
 		// it has reports of the present one. It can't determine which of the two is newer until the present one answers
 		// again.
 		const state = new BackendServerState('identity-1', declared, defaultTuning, 0);
-		state.takeReport(report('second'), 0, 0);
-		state.takeLeaving('first', 10);
-		state.takeReport(report('second'), 2000, 2000);
+		state.applyReport(report('second'), 0, 0);
+		state.applyLeavingSign('first', 10);
+		state.applyReport(report('second'), 2000, 2000);
 		expect(state.isLeaving).toEqual(false);
 	});
 });
--- a/src/common/calls/backend-server-state.ts
+++ b/src/common/calls/backend-server-state.ts
@@ -5,7 +5,7 @@
 	type Health, type HealthEvent, initialHealth, nextHealth,
 } from './health-chart.ts';
 import {DemandAllowance} from './demand-allowance.ts';
-import {MeasuringSchedule} from './measuring-schedule.ts';
+import {LoadProbeSchedule} from './load-probe-schedule.ts';
 import {ProcessHistory} from './process-history.ts';
 import {type TimerEntry} from './timer-queue.ts';
 import {type CallTuning} from './tuning.ts';
@@ -33,14 +33,14 @@
 
 /** Effect of a load report. */
 export type ReportEffect = {
-	readonly isTaken: boolean;
+	readonly isAccepted: boolean;
 	/** Instance of the process that a new process has replaced. */
-	readonly goneInstance: string | undefined;
+	readonly replacedInstance: string | undefined;
 	/** It is the first sign that the backend server is leaving. */
 	readonly beganToLeave: boolean;
 };
 
-const nothingChanged: ReportEffect = {isTaken: false, goneInstance: undefined, beganToLeave: false};
+const nothingChanged: ReportEffect = {isAccepted: false, replacedInstance: undefined, beganToLeave: false};
 
 /** State of one backend server, kept across changes of its declared fields. */
 export class BackendServerState {
@@ -50,18 +50,18 @@
 	isEvacuated = false;
 	/** Attempts of this VM that have neither ended nor been cancelled. */
 	readonly attempts = new Set<Attempt>();
-	readonly schedule = new MeasuringSchedule();
-	/** Timer of its next check for a paced measuring call. */
-	look: TimerEntry<BackendServerState> | undefined;
+	readonly loadProbeSchedule = new LoadProbeSchedule();
+	/** Timer of its next check for a paced load probe. */
+	loadProbeTimer: TimerEntry<BackendServerState> | undefined;
 	/** Calls in flight here that may crash it. */
 	suspectsInFlight = 0;
 	report: LoadReport | undefined;
 	reportedAt: Instant = -Infinity;
 	lastAnswerAt: Instant = -Infinity;
 	/** When the load probe in flight was sent; undefined = none is in flight. */
-	measuringSince: Instant | undefined;
+	probeSentAt: Instant | undefined;
 	/** Consecutive load probes without a report. */
-	unansweredMeasurings = 0;
+	unansweredProbes = 0;
 	readonly warmUp: WarmUp;
 	rateLimit = new RateLimit();
 	readonly demandAllowance = new DemandAllowance();
@@ -115,7 +115,7 @@
 	 * Identifies its process by the reported instance and the declared start time, as far as available; undefined = neither
 	 * is.
 	 */
-	get process(): string | undefined {
+	get processIdentity(): string | undefined {
 		const {processStartedAt} = this.declared;
 		const instance = this.report?.instance;
 		return processStartedAt === undefined ? instance : `${instance ?? ''}@${processStartedAt}`;
@@ -136,9 +136,9 @@
 	/** Applies health transitions that are due by now, and returns the health. */
 	healthAt(now: Instant): Health {
 		if (this._health === 'warming' && now - this._healthSince >= this._warmingMilliseconds) {
-			this.move('WARM', now);
+			this.applyHealthEvent('WARM', now);
 		} else if (this._health === 'ejected' && now >= this._ejectedUntil) {
-			this.move('PROBE', now);
+			this.applyHealthEvent('PROBE', now);
 		}
 
 		return this._health;
@@ -152,29 +152,29 @@
 		}
 
 		const warmUpProgress = (now - this._healthSince) / this._warmingMilliseconds;
-		return Math.max(1, slots * Math.min(1, Math.max(this._tuning.warmingStart, warmUpProgress)));
+		return Math.max(1, slots * Math.min(1, Math.max(this._tuning.warmingStartFraction, warmUpProgress)));
 	}
 
 	/**
 	 * Answer time relative to the mean of the class. It decays, so that a backend server that has recovered is tried again.
 	 */
 	slownessAt(now: Instant): number {
-		const decay = Math.exp((this._slownessUpdatedAt - now) / this._tuning.slownessMemoryMilliseconds);
+		const decay = Math.exp((this._slownessUpdatedAt - now) / this._tuning.slownessDecayMilliseconds);
 		return Math.max(minSlowness, 1 + ((this._slowness - 1) * decay), this._overdueSlowness(now));
 	}
 
 	/** Decayed fraction of its recent calls that failed. */
-	failingAt(now: Instant): number {
-		return this._failureRate === 0 ? 0 : this._failureRate * Math.exp((this._failureRateUpdatedAt - now) / this._tuning.failureMemoryMilliseconds);
+	failureRateAt(now: Instant): number {
+		return this._failureRate === 0 ? 0 : this._failureRate * Math.exp((this._failureRateUpdatedAt - now) / this._tuning.failureDecayMilliseconds);
 	}
 
 	/** Decayed fraction of its recent attempts that it shed without running them. */
-	sheddingAt(now: Instant): number {
-		return this._shedRate === 0 ? 0 : this._shedRate * Math.exp((this._shedRateUpdatedAt - now) / this._tuning.failureMemoryMilliseconds);
+	shedRateAt(now: Instant): number {
+		return this._shedRate === 0 ? 0 : this._shedRate * Math.exp((this._shedRateUpdatedAt - now) / this._tuning.failureDecayMilliseconds);
 	}
 
 	/** Records the start of an attempt of this VM. */
-	noteStart(now: Instant): void {
+	recordStart(now: Instant): void {
 		this._recentStarts = this._recentStarts.filter(at => now - at < rateWindowMilliseconds);
 		this._recentStarts.push(now);
 	}
@@ -185,9 +185,9 @@
 	}
 
 	/** Records whether the backend server accepted an attempt or shed it without running it. */
-	noteTaken(isTaken: boolean, now: Instant): void {
-		const previous = this.sheddingAt(now);
-		this._shedRate = previous + (((isTaken ? 0 : 1) - previous) * slownessGain);
+	recordAcceptance(isAccepted: boolean, now: Instant): void {
+		const previous = this.shedRateAt(now);
+		this._shedRate = previous + (((isAccepted ? 0 : 1) - previous) * slownessGain);
 		this._shedRateUpdatedAt = now;
 	}
 
@@ -195,20 +195,20 @@
 	 * Calls of other VMs beyond the usual number, by the latest report. It decays to 0: after a mean answer time most of
 	 * the reported calls have left, and a choice by the report would be right only by chance.
 	 */
-	signalAt(now: Instant, usualOthers: number, holdMean: Milliseconds): number {
-		if (this.report === undefined || this._tuning.reportTrust === 0) {
+	reportedExcessAt(now: Instant, usualOthers: number, holdMean: Milliseconds): number {
+		if (this.report === undefined || this._tuning.reportLifetimeFactor === 0) {
 			return 0;
 		}
 
 		const others = Math.max(0, this.report.inFlight + this.report.queued - this._ownCallsAtReport);
-		const lifetime = this._tuning.reportTrust * holdMean * (1 + (this.report.queued / this.report.slots));
+		const lifetime = this._tuning.reportLifetimeFactor * holdMean * (1 + (this.report.queued / this.report.slots));
 		return (others - usualOthers) * Math.exp((this.reportedAt - now) / lifetime);
 	}
 
 	/**
 	 * Records the time of an attempt that was cancelled without an answer; the answer would have taken at least this long.
 	 */
-	onGivenUp(time: Milliseconds, classMean: Milliseconds, now: Instant): void {
+	onCancelled(time: Milliseconds, classMean: Milliseconds, now: Instant): void {
 		const ratio = time / Math.max(classMean, 0.01);
 		if (ratio > this._decayedSlowness(now)) {
 			this._recordAnswerTimeRatio(ratio, now);
@@ -216,7 +216,7 @@
 	}
 
 	/** Calls of other VMs in the latest report. */
-	get reportedOthers(): number | undefined {
+	get reportedOtherCalls(): number | undefined {
 		return this.report === undefined ? undefined : Math.max(0, this.report.inFlight + this.report.queued - this._ownCallsAtReport);
 	}
 
@@ -225,7 +225,7 @@
 		this.lastAnswerAt = now;
 		this._recordOutcome(0, now);
 		this._failuresInRow = 0;
-		this.move('ANSWERED', now);
+		this.applyHealthEvent('ANSWERED', now);
 		if (this._health === 'active') {
 			this._ejections = 0;
 		}
@@ -239,15 +239,15 @@
 
 	/** Ejects the backend server for a time that doubles with each failed probe. */
 	eject(event: 'FAILING' | 'SILENT', now: Instant): void {
-		this.move(event, now);
+		this.applyHealthEvent(event, now);
 		if (this._health === 'ejected') {
-			const time = this._tuning.ejectionMilliseconds * (2 ** this._ejections);
-			this._ejectedUntil = now + Math.min(time, this._tuning.longestEjectionMilliseconds);
+			const time = this._tuning.baseEjectionMilliseconds * (2 ** this._ejections);
+			this._ejectedUntil = now + Math.min(time, this._tuning.maxEjectionMilliseconds);
 			this._ejections = Math.min(this._ejections + 1, 10);
 		}
 	}
 
-	move(event: HealthEvent, now: Instant): void {
+	applyHealthEvent(event: HealthEvent, now: Instant): void {
 		const next = nextHealth(this._health, event);
 		if (next !== this._health || event === 'RETURN') {
 			this._health = next;
@@ -256,22 +256,22 @@
 	}
 
 	/** Applies a signal that a process is leaving; one of a process that is gone does not affect the present one. */
-	takeLeaving(instance: string | undefined, now: Instant): void {
-		if (this._processes.takeSign(instance, now)) {
-			this.move('LEAVE', now);
+	applyLeavingSign(instance: string | undefined, now: Instant): void {
+		if (this._processes.applyLeavingSign(instance, now)) {
+			this.applyHealthEvent('LEAVE', now);
 		}
 	}
 
 	/**
 	 * Applies a report made at `madeAt`. Reports that are older than the latest one, or of an earlier process, are dropped.
 	 */
-	takeReport(report: LoadReport, madeAt: Instant, now: Instant): ReportEffect {
+	applyReport(report: LoadReport, madeAt: Instant, now: Instant): ReportEffect {
 		if (madeAt < this.reportedAt) {
 			return nothingChanged;
 		}
 
-		const previousInstance = this._processes.present;
-		const change = this._processes.takeReport(report.instance, madeAt);
+		const previousInstance = this._processes.currentInstance;
+		const change = this._processes.applyReport(report.instance, madeAt);
 		if (change === 'of-past') {
 			return nothingChanged;
 		}
@@ -282,17 +282,17 @@
 
 		const beganToLeave = report.isLeaving && this._health !== 'leaving';
 		if (report.isLeaving) {
-			this.takeLeaving(report.instance, now);
+			this.applyLeavingSign(report.instance, now);
 		}
 
 		if (report.warmUpLeftMilliseconds !== undefined) {
-			this.warmUp.note(report.warmUpLeftMilliseconds, madeAt);
+			this.warmUp.applyReport(report.warmUpLeftMilliseconds, madeAt);
 		}
 
 		this.report = report;
 		this.reportedAt = madeAt;
 		this._ownCallsAtReport = this.attempts.size;
-		return {isTaken: true, goneInstance: change === 'replaced' ? previousInstance : undefined, beganToLeave};
+		return {isAccepted: true, replacedInstance: change === 'replaced' ? previousInstance : undefined, beganToLeave};
 	}
 
 	/** Resets what was learnt from the previous process: its leaving, load and failures do not apply to the new one. */
@@ -301,7 +301,7 @@
 		this._failureRate = 0;
 		this._failuresInRow = 0;
 		this.rateLimit = new RateLimit();
-		this.move('RETURN', now);
+		this.applyHealthEvent('RETURN', now);
 	}
 
 	private get _warmingMilliseconds(): Milliseconds {
@@ -315,11 +315,11 @@
 	}
 
 	private _decayedSlowness(now: Instant): number {
-		return 1 + ((this._slowness - 1) * Math.exp((this._slownessUpdatedAt - now) / this._tuning.slownessMemoryMilliseconds));
+		return 1 + ((this._slowness - 1) * Math.exp((this._slownessUpdatedAt - now) / this._tuning.slownessDecayMilliseconds));
 	}
 
 	private _recordOutcome(value: number, now: Instant): void {
-		const previous = this.failingAt(now);
+		const previous = this.failureRateAt(now);
 		this._failureRate = previous + ((value - previous) * failureGain);
 		this._failureRateUpdatedAt = now;
 	}
--- a/src/common/calls/call-endings.ts
+++ b/src/common/calls/call-endings.ts
@@ -4,7 +4,7 @@
 	type Attempt, type Call, objectiveOf, outcomeSoFar,
 } from './call.ts';
 import {type EngineContext} from './engine-context.ts';
-import {whenLimitsAllow} from './placer.ts';
+import {nextAllowedAt} from './placer.ts';
 import {
 	type CallId, type CallOutcome, type CallRequest, type RefusalReason,
 } from './types.ts';
@@ -55,7 +55,7 @@
 	}
 
 	/** Refuses a call that the engine has no record of. */
-	refuseUnheard(request: CallRequest, reason: RefusalReason): void {
+	refuseUnregistered(request: CallRequest, reason: RefusalReason): void {
 		this._context.effects.push({
 			type: 'refuse',
 			callId: request.callId,
@@ -89,7 +89,7 @@
 	}
 
 	/** Aborts a partly forwarded answer that cannot be completed, so that the caller detects the truncation. */
-	breakOff(call: Call, now: Instant): void {
+	abortAnswer(call: Call, now: Instant): void {
 		this._context.effects.push({type: 'break-off', callId: call.request.callId});
 		this.end(call, outcomeSoFar(call), 'backend-server-failed', now);
 	}
@@ -155,12 +155,12 @@
 	private _retryAfter(call: Call, reason: RefusalReason, now: Instant): Milliseconds | undefined {
 		if (backlogReasons.has(reason)) {
 			const service = call.serviceState;
-			if (call.wasShedWithRoom && service.queue.size === 0) {
+			if (call.wasShedWithFreeSlot && service.queue.size === 0) {
 				return this._addJitter(shedRetryAfterMilliseconds);
 			}
 
-			const untilLimitAllows = Math.min(faultRetryAfterMilliseconds, whenLimitsAllow(this._context, service, now) - now);
-			return this._addJitter(Math.max(minRetryAfterMilliseconds, untilLimitAllows, service.waitFor(service.queue.size + 1)));
+			const untilLimitAllows = Math.min(faultRetryAfterMilliseconds, nextAllowedAt(this._context, service, now) - now);
+			return this._addJitter(Math.max(minRetryAfterMilliseconds, untilLimitAllows, service.estimateWait(service.queue.size + 1)));
 		}
 
 		return faultReasons.has(reason) ? this._addJitter(faultRetryAfterMilliseconds) : undefined;
--- a/src/common/calls/call-engine.ts
+++ b/src/common/calls/call-engine.ts
@@ -11,12 +11,12 @@
 	type CallEngineSettings, type EngineContext, type Timer, isTimerLive,
 } from './engine-context.ts';
 import {DemandPlacer} from './demand-placer.ts';
-import {HealthJudge} from './health-judge.ts';
+import {OutlierDetector} from './outlier-detector.ts';
 import {ExpectedTimePlacer} from './placer.ts';
 import {ServiceDirectory} from './service-directory.ts';
 import {TimerQueue} from './timer-queue.ts';
 import {type CallTuning, defaultTuning} from './tuning.ts';
-import {type RateQuota, WholeRateQuota} from './rate-quota.ts';
+import {type RateQuota, SingleVmRateQuota} from './rate-quota.ts';
 import {
 	type AttemptId, type CallEffect, type CallEngine, type CallEngineStatus, type CallLoad, type CallEvent, type CallId, type CallRequest, type KeyClaim,
 } from './types.ts';
@@ -43,7 +43,7 @@
 	/** Calls whose idempotency key claim is pending; some of them may have ended already. */
 	private readonly _pendingKeyClaims = new Map<CallId, Call>();
 	private readonly _directory: ServiceDirectory;
-	private readonly _outlierDetector: HealthJudge;
+	private readonly _outlierDetector: OutlierDetector;
 	private readonly _runner: AttemptRunner;
 	private readonly _endings: CallEndings;
 	private readonly _admission: Admission;
@@ -57,33 +57,33 @@
 			settings: options.settings,
 			timers: new TimerQueue<Timer>(),
 			suspects: new CrashSuspects(tuning.suspicionMilliseconds),
-			freed: new Set(),
-			replaced: [],
+			servicesToDrain: new Set(),
+			replacedServers: [],
 			isPlacingHeld: false,
-			rateQuota: options.rateQuota ?? new WholeRateQuota(),
+			rateQuota: options.rateQuota ?? new SingleVmRateQuota(),
 			shares: undefined,
 			effects: [],
 		};
 		this._directory = new ServiceDirectory(this._context);
-		this._outlierDetector = new HealthJudge(this._context);
+		this._outlierDetector = new OutlierDetector(this._context);
 		this._runner = new AttemptRunner({
 			context: this._context,
 			attempts: this._attempts,
 			placer: new ExpectedTimePlacer(this._context),
 			demandPlacer: new DemandPlacer(this._context),
-			measure: server => {
-				this._directory.measureNow(server);
+			startLoadProbe: server => {
+				this._directory.startLoadProbe(server);
 			},
-			health: this._outlierDetector,
+			outlierDetector: this._outlierDetector,
 			onReport: (server, report, now) => {
-				this._directory.takeAnswerReport(server, report, now);
+				this._directory.applyAnswerReport(server, report, now);
 			},
 			onRateLimit: ({server, startedAt}, rateLimit, now) => {
-				this._directory.takeAnswerLimit(server, rateLimit, startedAt, now);
+				this._directory.applyAnswerRateLimit(server, rateLimit, startedAt, now);
 			},
 		});
 		this._endings = new CallEndings(this._context, this._calls, attempt => {
-			this._runner.drop(attempt);
+			this._runner.remove(attempt);
 		});
 		this._runner.setEndings(this._endings);
 		this._admission = new Admission(this._context, this._runner, this._endings);
@@ -92,18 +92,18 @@
 	handle(event: CallEvent, now: Instant): readonly CallEffect[] {
 		this._context.effects = [];
 		this._dispatch(event, now);
-		for (const service of this._context.freed) {
+		for (const service of this._context.servicesToDrain) {
 			this._admission.drain(service, now);
 		}
 
-		this._context.freed.clear();
+		this._context.servicesToDrain.clear();
 		return this._context.effects;
 	}
 
 	nextWakeUp(): Instant | undefined {
 		const {timers} = this._context;
 		timers.dropWhile(timer => !isTimerLive(timer));
-		const earliest = Math.min(timers.earliest ?? Infinity, this._directory.nextLook ?? Infinity);
+		const earliest = Math.min(timers.earliest ?? Infinity, this._directory.nextLoadProbeCheckAt ?? Infinity);
 		return earliest === Infinity ? undefined : earliest;
 	}
 
@@ -185,7 +185,7 @@
 		switch (event.type) {
 			case 'configured': {
 				this._directory.configure(event.configuration, now);
-				for (const server of this._context.replaced.splice(0)) {
+				for (const server of this._context.replacedServers.splice(0)) {
 					this._runner.onReplaced(server, now);
 				}
 
@@ -203,26 +203,26 @@
 			}
 
 			case 'peer-updates': {
-				this._directory.takeUpdates(event.updates, now);
+				this._directory.applyPeerUpdates(event.updates, now);
 				break;
 			}
 
 			case 'backend-server-leaving': {
-				this._directory.takeLeaving(event.identity, event.instance, now);
+				this._directory.applyLeavingSign(event.identity, event.instance, now);
 				break;
 			}
 
 			case 'measured': {
-				const server = this._directory.takeMeasurement(event.measurementId, event.report, now);
+				const server = this._directory.onLoadProbeEnded(event.loadProbeId, event.report, now);
 				if (server !== undefined) {
-					this._runner.prober.onMeasured(server, now);
+					this._runner.prober.onProbeEnded(server, now);
 				}
 
 				break;
 			}
 
 			case 'quarantine-lifted': {
-				this._context.suspects.lift(event.fingerprint, now);
+				this._context.suspects.liftQuarantine(event.fingerprint, now);
 				break;
 			}
 		}
@@ -261,11 +261,11 @@
 	private _onCallArrived(request: CallRequest, now: Instant): void {
 		const service = this._directory.service(request.service);
 		if (service === undefined) {
-			this._endings.refuseUnheard(request, this._directory.version === undefined ? 'not-ready' : 'unknown-service');
+			this._endings.refuseUnregistered(request, this._directory.version === undefined ? 'not-ready' : 'unknown-service');
 			return;
 		}
 
-		this._directory.noteCall(service, now);
+		this._directory.recordCall(service, now);
 		const call = newCall(request, service, now);
 		this._calls.set(request.callId, call);
 		call.timers.push(this._context.timers.add(call.deadline, {type: 'deadline', call}));
@@ -296,7 +296,7 @@
 	private _setPlacingHeld(isHeld: boolean): void {
 		this._context.isPlacingHeld = isHeld;
 		for (const service of isHeld ? [] : this._directory.allServices()) {
-			this._context.freed.add(service);
+			this._context.servicesToDrain.add(service);
 		}
 	}
 
@@ -357,14 +357,14 @@
 			}
 		}
 
-		this._directory.measure(now);
+		this._directory.startDueLoadProbes(now);
 	}
 
 	private _onTimer(timer: Timer, now: Instant): void {
 		switch (timer.type) {
 			case 'deadline': {
 				for (const attempt of timer.call.attempts) {
-					this._outlierDetector.onGivenUp(attempt, now);
+					this._outlierDetector.onAttemptAbandoned(attempt, now);
 				}
 
 				// While the claim is pending, an earlier request with the same key may have run.
@@ -383,8 +383,8 @@
 			}
 
 			case 'queue-look': {
-				timer.service.isLookPlanned = false;
-				this._context.freed.add(timer.service);
+				timer.service.isQueueCheckScheduled = false;
+				this._context.servicesToDrain.add(timer.service);
 				break;
 			}
 
@@ -394,9 +394,9 @@
 			}
 
 			case 'resume': {
-				this._outlierDetector.onGivenUp(timer.attempt, now);
+				this._outlierDetector.onAttemptAbandoned(timer.attempt, now);
 				this._endings.cancelAttempts(timer.attempt.call);
-				this._endings.breakOff(timer.attempt.call, now);
+				this._endings.abortAnswer(timer.attempt.call, now);
 				break;
 			}
 		}
--- a/src/common/calls/call.ts
+++ b/src/common/calls/call.ts
@@ -1,7 +1,7 @@
 /** The records of a call and its attempts, kept until they end. */
 import {type Service} from '../model/resources.ts';
 import {type Instant, type Milliseconds} from '../model/units.ts';
-import {type Prospect} from './answer-time-model.ts';
+import {type LoadSnapshot} from './answer-time-model.ts';
 import {type BackendServerState} from './backend-server-state.ts';
 import {type CallClass} from './call-classes.ts';
 import {type PendingProbes} from './load-prober.ts';
@@ -25,13 +25,13 @@
 	readonly purpose: AttemptPurpose;
 	readonly startedAt: Instant;
 	/** Reported calls of other VMs above their usual number when the backend server was chosen, weighted by the report's age. */
-	readonly signal: number;
+	readonly reportedExcess: number;
 	/** Estimates for the backend server when it was chosen. */
-	readonly prospect: Prospect;
+	readonly loadSnapshot: LoadSnapshot;
 	/** Process of the backend server at the start of the attempt; a crash during the attempt is attributed to this process. */
 	readonly instance: string | undefined;
 	/** True for the single trial call that a backend server in state `doubted` or `probing` gets. */
-	readonly isExperiment: boolean;
+	readonly isTrial: boolean;
 	/** True if the call may crash its backend server: other calls avoid that server meanwhile. */
 	readonly isSuspect: boolean;
 	/** True if the backend server was warming up when the attempt started. */
@@ -72,10 +72,10 @@
 	attemptCount: number;
 	/** True if an ended attempt may have run; a non-idempotent call is not attempted again then. */
 	mayHaveRun: boolean;
-	answering: ForwardedAnswer | undefined;
+	forwardedAnswer: ForwardedAnswer | undefined;
 	firstStartedAt: Instant | undefined;
 	/** Backend servers on which an attempt of this call failed. */
-	readonly failedOn: Set<BackendServerState>;
+	readonly failedServers: Set<BackendServerState>;
 	/** Records of its attempts and the reasons for each choice; undefined unless load probes are on demand. */
 	readonly trail: AttemptRecord[] | undefined;
 	/** Data behind the latest choice of a backend server. */
@@ -83,9 +83,9 @@
 	/** Pending load probes for its next attempt. */
 	probing: PendingProbes | undefined;
 	/** True if a backend server with a free slot shed the call, which indicates a fault and not a full server. */
-	wasShedWithRoom: boolean;
+	wasShedWithFreeSlot: boolean;
 	/** Attempts whose connection was reset after sending. A second one makes the call a suspect in two crashes. */
-	resets: number;
+	resetCount: number;
 };
 
 /** Creates the record of a new call. */
@@ -101,7 +101,7 @@
 		serviceState,
 		class: serviceState.classes.classOf(request),
 		arrivedAt: now,
-		objectiveAt: now + objective - serviceState.returning.spentOf(request.timeoutMilliseconds, rule),
+		objectiveAt: now + objective - serviceState.retryingCallers.timeSpentBefore(request.timeoutMilliseconds, rule),
 		deadline: now + timeout,
 		isIdempotent: rule?.isIdempotent ?? declared.idempotentMethods.includes(request.method),
 		state: 'queued',
@@ -110,21 +110,21 @@
 		attempts: new Set(),
 		attemptCount: 0,
 		mayHaveRun: false,
-		answering: undefined,
+		forwardedAnswer: undefined,
 		firstStartedAt: undefined,
-		failedOn: new Set(),
+		failedServers: new Set(),
 		trail: serviceState.isMeasuredOnDemand ? [] : undefined,
 		grounds: undefined,
 		probing: undefined,
-		wasShedWithRoom: false,
-		resets: 0,
+		wasShedWithFreeSlot: false,
+		resetCount: 0,
 	};
 }
 
 /** Whether the call ran, from its ended attempts and the answer that is being forwarded. */
 export function outcomeSoFar(call: Call): CallOutcome {
-	if (call.answering !== undefined) {
-		return call.answering.outcome;
+	if (call.forwardedAnswer !== undefined) {
+		return call.forwardedAnswer.outcome;
 	}
 
 	return call.mayHaveRun ? 'unknown' : 'not-run';
--- a/src/common/calls/caller-queue.ts
+++ b/src/common/calls/caller-queue.ts
@@ -12,7 +12,7 @@
 	/** Removes a call that ended while it waited. */
 	remove(call: Call): void;
 	/** The call to refuse when the queue is full: the newest of the caller with the most waiting calls. */
-	latestOfGreediest(): Call | undefined;
+	newestOfLargestCaller(): Call | undefined;
 };
 
 /**
@@ -88,7 +88,7 @@
 		}
 	}
 
-	latestOfGreediest(): Call | undefined {
+	newestOfLargestCaller(): Call | undefined {
 		let largest: Call[] | undefined;
 		for (const queue of this._queues.values()) {
 			if (largest === undefined || queue.length > largest.length) {
@@ -127,7 +127,7 @@
 		}
 	}
 
-	latestOfGreediest(): Call | undefined {
+	newestOfLargestCaller(): Call | undefined {
 		return this._calls.at(-1);
 	}
 }
--- a/src/common/calls/crash-suspects.test.ts
+++ b/src/common/calls/crash-suspects.test.ts
@@ -92,11 +92,11 @@
 		// The quarantine must end, since the backend servers may have been repaired.
 		const suspects = new CrashSuspects(1000);
 		for (let vm = 0; vm < 16; vm++) {
-			suspects.accuse(CrashSuspects.crashIdentity('identity-1', 'process-1'), ['a', 'b'], vm);
+			suspects.addSuspects(CrashSuspects.crashIdentity('identity-1', 'process-1'), ['a', 'b'], vm);
 		}
 
 		expect(suspects.quarantined(20)).toEqual([]);
-		suspects.accuse(CrashSuspects.crashIdentity('identity-2', 'process-9'), ['a', 'c'], 20);
+		suspects.addSuspects(CrashSuspects.crashIdentity('identity-2', 'process-9'), ['a', 'c'], 20);
 		expect(suspects.isQuarantined('a', 30)).toEqual(true);
 		expect(suspects.isQuarantined('a', 1100)).toEqual(false);
 	});
@@ -105,7 +105,7 @@
 		// A thousand crashes with different calls in flight. Guards against memory that grows with the calls of callers.
 		const suspects = new CrashSuspects(1_000_000);
 		for (let crash = 0; crash < 1000; crash++) {
-			suspects.accuse(`crash-${crash}`, Array.from({length: 100}, (_, index) => `print-${crash}-${index}`), crash);
+			suspects.addSuspects(`crash-${crash}`, Array.from({length: 100}, (_, index) => `print-${crash}-${index}`), crash);
 		}
 
 		expect(suspects.isSuspect('print-0-0')).toEqual(false);
--- a/src/common/calls/crash-suspects.ts
+++ b/src/common/calls/crash-suspects.ts
@@ -52,7 +52,7 @@
 	}
 
 	/** Adds calls that were in flight at a crash detected by this VM or a peer. Returns true if any of them was new for this crash. */
-	accuse(crashIdentity: string, fingerprints: readonly string[], now: Instant): boolean {
+	addSuspects(crashIdentity: string, fingerprints: readonly string[], now: Instant): boolean {
 		const crash = this._getOrCreateCrash(crashIdentity, now);
 		let isNew = false;
 		for (const fingerprint of fingerprints) {
@@ -74,7 +74,7 @@
 	}
 
 	/** Confirms that the process of this crash has ended. Ignored if the crash is unknown or its first reset was too long ago. */
-	confirm(crashIdentity: string, now: Instant): void {
+	confirmCrash(crashIdentity: string, now: Instant): void {
 		const crash = this._crashes.get(crashIdentity);
 		if (crash !== undefined && !crash.isConfirmed && now - crash.detectedAt <= confirmationMilliseconds) {
 			crash.isConfirmed = true;
@@ -83,7 +83,7 @@
 	}
 
 	/** Removes a call from the suspects of all crashes. Called after an answer, which proves that the call is harmless. */
-	clear(fingerprint: string, now: Instant): void {
+	clearSuspect(fingerprint: string, now: Instant): void {
 		const crashes = this._crashesByFingerprint.get(fingerprint);
 		if (crashes === undefined) {
 			return;
@@ -117,9 +117,9 @@
 	}
 
 	/** Ends the quarantine of a call at the request of an operator. */
-	lift(fingerprint: string, now: Instant): void {
+	liftQuarantine(fingerprint: string, now: Instant): void {
 		this._quarantined.delete(fingerprint);
-		this.clear(fingerprint, now);
+		this.clearSuspect(fingerprint, now);
 	}
 
 	quarantined(now: Instant): Quarantined[] {
--- a/src/common/calls/demand-allowance.ts
+++ b/src/common/calls/demand-allowance.ts
@@ -1,6 +1,6 @@
 /** Limit on how often this VM may probe one backend server on demand. */
 import {type Instant} from '../model/units.ts';
-import {type MeasuringBudget} from './measuring-schedule.ts';
+import {type MeasuringBudget} from './load-probe-schedule.ts';
 
 /**
  * Capacity of the bucket, as time at the allowed rate: a burst may use the probes of one second at once, but not those of
--- a/src/common/calls/demand-placer.ts
+++ b/src/common/calls/demand-placer.ts
@@ -1,17 +1,17 @@
 /**
- * Placement for on-demand measuring: selects the backend servers to probe, and among those with a report the one with the
+ * Placement for on-demand probing: selects the backend servers to probe, and among those with a report the one with the
  * highest expected utility.
  */
 import {type Instant, type Milliseconds, type RandomSource} from '../model/units.ts';
-import {type Prospect} from './answer-time-model.ts';
+import {type LoadSnapshot} from './answer-time-model.ts';
 import {type BackendServerState} from './backend-server-state.ts';
 import {
 	type AttemptPurpose, type Call, objectiveOf, workEstimate,
 } from './call.ts';
 import {type EngineContext} from './engine-context.ts';
-import {roomyPart} from './load-levels.ts';
+import {lightLoadFraction} from './load-levels.ts';
 import {
-	type Placement, type Placer, connectionLimit, isRateLimited, isSpared, isSparedForWarmUp,
+	type Placement, type Placer, connectionLimit, isRateLimited, isThrottled, isThrottledByWarmUp,
 } from './placer.ts';
 import {type PlacingChoice, type PlacingGrounds} from './types.ts';
 
@@ -150,41 +150,41 @@
 			server, score: this._expectedOutcome(server, call, now, 1).utility + ((this._context.random.next() - 0.5) * scoreJitter),
 		}));
 		scored.sort((one, other) => other.score - one.score);
-		return scored.slice(0, call.serviceState.headroom.probes(this._context.tuning.demandCandidates)).map(({server}) => server);
+		return scored.slice(0, call.serviceState.headroom.probeCount(this._context.tuning.maxProbeCandidates)).map(({server}) => server);
 	}
 
 	/**
 	 * Whether fresh reports already show a lightly loaded backend server that is likely enough to answer in time, so that
 	 * more probes would have no effect.
 	 */
-	hasGoodPlace(call: Call, now: Instant): boolean {
-		const {demandFreshMilliseconds, demandWaitMilliseconds} = this._context.tuning;
+	hasSuitableServer(call: Call, now: Instant): boolean {
+		const {reportFreshMilliseconds, maxProbeWaitMilliseconds} = this._context.tuning;
 		const {servers} = call.serviceState;
 		const bestAcceptance = bestAcceptanceRate(servers, now);
-		return servers.some(server => this._isEligible(server, call, now) && now - server.reportedAt <= demandFreshMilliseconds + demandWaitMilliseconds
+		return servers.some(server => this._isEligible(server, call, now) && now - server.reportedAt <= reportFreshMilliseconds + maxProbeWaitMilliseconds
 			&& isLightlyLoaded(server) && this._expectedOutcome(server, call, now, bestAcceptance).withinObjective >= minOnTimeProbability);
 	}
 
 	place(call: Call, now: Instant, purpose: AttemptPurpose = 'first'): Placement | undefined {
-		const canWait = purpose === 'hedge' || (purpose === 'first' && !isImpatient(call, now));
+		const canWait = purpose === 'hedge' || (purpose === 'first' && !isWaitOver(call, now));
 		const best = this._bestServers(call, now, canWait ? minOnTimeProbability : minOnTimeProbabilityAfterWait);
 		const choice = (canWait ? waitingChoices : finalChoices).find(one => best[one].server !== undefined);
 		call.grounds = {...best.grounds, choice: choice ?? 'none'};
-		return choice === undefined ? undefined : {server: best[choice].server!, isExperiment: false};
+		return choice === undefined ? undefined : {server: best[choice].server!, isTrial: false};
 	}
 
 	/** Records the state of the service's backend servers for a call that is refused without a search for one. */
-	noteGrounds(call: Call, now: Instant): void {
+	recordGrounds(call: Call, now: Instant): void {
 		call.grounds = {...this._bestServers(call, now, minOnTimeProbabilityAfterWait).grounds, choice: 'none'};
 	}
 
 	/** Load of a backend server with one more call, as input for the answer time model. */
-	prospect(server: BackendServerState, now: Instant): Prospect {
+	loadSnapshot(server: BackendServerState, now: Instant): LoadSnapshot {
 		return {
 			load: server.reportedLoad + 1,
 			slots: Math.max(1, server.slotsAt(now)),
 			workTimeFactor: server.report?.workTimeFactor,
-			age: now - server.reportedAt,
+			reportAge: now - server.reportedAt,
 		};
 	}
 
@@ -226,7 +226,7 @@
 			...best,
 			grounds: {
 				known: call.serviceState.servers.length,
-				warmingUp: call.serviceState.servers.filter(server => server.takesNewAttempts && isSparedForWarmUp(this._context, server, call, now)).length,
+				warmingUp: call.serviceState.servers.filter(server => server.takesNewAttempts && isThrottledByWarmUp(this._context, server, call, now)).length,
 				rateLimited: call.serviceState.servers.filter(server => server.takesNewAttempts && isRateLimited(this._context, server, now)).length,
 				evacuated: call.serviceState.servers.filter(server => server.isEvacuated).length,
 				able: considered.eligible,
@@ -257,7 +257,7 @@
 
 	/** Whether neighbours slow it down so much that a new call would hardly be answered there within its objective. */
 	private _isSlowForNewCalls(server: BackendServerState, call: Call, now: Instant): boolean {
-		return call.serviceState.answerTimes.chance(workEstimate(call), {...this.prospect(server, now), load: 1}, objectiveOf(call)) < slowServerProbability;
+		return call.serviceState.answerTimes.probabilityWithin(workEstimate(call), {...this.loadSnapshot(server, now), load: 1}, objectiveOf(call)) < slowServerProbability;
 	}
 
 	/**
@@ -265,7 +265,7 @@
 	 * them.
 	 */
 	private _isProbeSkipped(server: BackendServerState): boolean {
-		return server.unansweredMeasurings >= unansweredProbesUntilSilent && this._context.random.next() * callsPerSilentProbe >= 1;
+		return server.unansweredProbes >= unansweredProbesUntilSilent && this._context.random.next() * callsPerSilentProbe >= 1;
 	}
 
 	/**
@@ -274,15 +274,15 @@
 	 */
 	private _isCandidate(server: BackendServerState, call: Call, now: Instant): boolean {
 		return this._isEligible(server, call, now)
-			|| (server.takesNewAttempts && (server.warmUp.isAssumed(now) || isLimitUnconfirmed(server, now)) && !call.failedOn.has(server));
+			|| (server.takesNewAttempts && (server.warmUp.isAssumed(now) || isLimitUnconfirmed(server, now)) && !call.failedServers.has(server));
 	}
 
 	private _isEligible(server: BackendServerState, call: Call, now: Instant): boolean {
-		if (isSpared(this._context, server, call, now)) {
+		if (isThrottled(this._context, server, call, now)) {
 			return false;
 		}
 
-		if (!server.takesNewAttempts || call.failedOn.has(server) || server.attempts.size >= connectionLimit(this._context, server.declared)) {
+		if (!server.takesNewAttempts || call.failedServers.has(server) || server.attempts.size >= connectionLimit(this._context, server.declared)) {
 			return false;
 		}
 
@@ -291,20 +291,20 @@
 
 	/** `bestAcceptance` = the highest acceptance rate among the candidates. */
 	private _expectedOutcome(server: BackendServerState, call: Call, now: Instant, bestAcceptance: number): ExpectedOutcome {
-		const {remoteMilliseconds, lateWorth, slotWorth} = this._context.tuning;
+		const {remoteRoundTripMilliseconds, lateAnswerValue, slotCost} = this._context.tuning;
 		const {answerTimes} = call.serviceState;
 		const work = workEstimate(call) * (server.warmUp.isUnderWay(now) ? call.serviceState.warmUpSlowness : 1);
-		const prospect = this.prospect(server, now);
-		const roundTrip: Milliseconds = this._isLocal(server) ? 0 : remoteMilliseconds;
+		const loadSnapshot = this.loadSnapshot(server, now);
+		const roundTrip: Milliseconds = this._isLocal(server) ? 0 : remoteRoundTripMilliseconds;
 		const acceptance = acceptanceRate(server, now);
-		const withinObjective = answerTimes.chance(work, prospect, call.objectiveAt - now - roundTrip);
-		const beforeDeadline = answerTimes.chance(work, prospect, call.deadline - now - roundTrip);
-		const slotPenalty = slotWorth * answerTimes.mean(work, prospect) / Math.max(1, work);
+		const withinObjective = answerTimes.probabilityWithin(work, loadSnapshot, call.objectiveAt - now - roundTrip);
+		const beforeDeadline = answerTimes.probabilityWithin(work, loadSnapshot, call.deadline - now - roundTrip);
+		const slotPenalty = slotCost * answerTimes.mean(work, loadSnapshot) / Math.max(1, work);
 		const relativeAcceptance = Math.min(1, acceptance / bestAcceptance);
 		return {
 			withinObjective: relativeAcceptance * withinObjective,
 			beforeDeadline: relativeAcceptance * beforeDeadline,
-			utility: (acceptance * (withinObjective + (lateWorth * (beforeDeadline - withinObjective)))) - slotPenalty - this._transferCost(server, call),
+			utility: (acceptance * (withinObjective + (lateAnswerValue * (beforeDeadline - withinObjective)))) - slotPenalty - this._transferCost(server, call),
 		};
 	}
 
@@ -314,7 +314,7 @@
 
 	/** Cost of the bytes of a call to another data centre. */
 	private _transferCost(server: BackendServerState, call: Call): number {
-		return this._isLocal(server) ? 0 : this._context.tuning.remoteKilobyteWorth * (call.class.answerBytesMean + headBytes) / kilobyte;
+		return this._isLocal(server) ? 0 : this._context.tuning.remoteKilobyteCost * (call.class.answerBytesMean + headBytes) / kilobyte;
 	}
 }
 
@@ -352,13 +352,13 @@
 }
 
 /** Whether the call has waited as long as allowed for a backend server that answers within its objective. */
-export function isImpatient(call: Call, now: Instant): boolean {
+export function isWaitOver(call: Call, now: Instant): boolean {
 	return now >= Math.min(call.arrivedAt + (maxWaitFraction * objectiveOf(call)), call.objectiveAt - workEstimate(call));
 }
 
 /** Whether the backend server's load probes report its rate limit and the last report is old. */
 function isLimitUnconfirmed({rateLimit, reportedAt}: BackendServerState, now: Instant): boolean {
-	return rateLimit.isNamedByProbes && now - reportedAt > limitConfirmationMilliseconds;
+	return rateLimit.isAnnouncedByProbes && now - reportedAt > limitConfirmationMilliseconds;
 }
 
 /** Whether the reported load leaves room. A backend server without reports is bounded by its connections. */
@@ -368,7 +368,7 @@
 
 /** Fraction of its attempts that a backend server is expected to accept and to answer. */
 function acceptanceRate(server: BackendServerState, now: Instant): number {
-	return (1 - server.failingAt(now)) * (1 - server.sheddingAt(now)) * (server.unansweredMeasurings >= unansweredProbesUntilSilent ? silentAcceptanceFactor : 1);
+	return (1 - server.failureRateAt(now)) * (1 - server.shedRateAt(now)) * (server.unansweredProbes >= unansweredProbesUntilSilent ? silentAcceptanceFactor : 1);
 }
 
 /** Highest acceptance rate of these backend servers; above 0, since it is used as a divisor. */
@@ -378,5 +378,5 @@
 
 /** Whether one more call would not be slowed down by the calls already there. */
 function isLightlyLoaded(server: BackendServerState): boolean {
-	return server.reportedLoad + 1 <= roomyPart * server.declared.slots;
+	return server.reportedLoad + 1 <= lightLoadFraction * server.declared.slots;
 }
--- a/src/common/calls/demand-placing.test.ts
+++ b/src/common/calls/demand-placing.test.ts
@@ -1,13 +1,13 @@
 import {expect} from 'earl';
 import {seededRandom} from '../random/random.ts';
 import {
-	answerMeasures as answer, configurationOf, EngineDriver, linesOf, type Measure, measuresOf, reportOf, requestOf, type Start, startIn,
+	answerLoadProbes as answer, configurationOf, EngineDriver, linesOf, type LoadProbeStart, loadProbesIn, reportOf, requestOf, type Start, startIn,
 } from './engine-driver.test.ts';
 import {DefaultCallEngine} from './call-engine.ts';
 import {type CallEffect, type CallRule} from './types.ts';
 
 const rule: CallRule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, mostAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, maxAttempts: 3, priority: 0,
 };
 
 /** An engine whose only service is measured on demand, with a budget large enough for the test. */
@@ -28,7 +28,7 @@
 	// Guards calls against backend servers that neighbours slow down for half a second at a time.
 	it('probes a few backend servers and chooses the one that is quiet now', () => {
 		const driver = driverOf(10);
-		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
+		const measures = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		expect(measures.length).toEqual(4);
 		const quietServer = measures[2]!.identity;
 		const start = startIn(answer(driver, measures, identity => identity === quietServer ? quiet() : slow()));
@@ -37,12 +37,12 @@
 
 	it('probes no backend server with a fresh report again, and shares a probe between calls', () => {
 		const driver = driverOf(4);
-		const first = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
-		const second = measuresOf(driver.handle({type: 'call-arrived', request: readOf(2)}));
+		const first = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)}));
+		const second = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(2)}));
 		const starts = answer(driver, first, quiet).filter(effect => effect.type === 'start-attempt');
 		driver.now += 20;
 		const third = driver.handle({type: 'call-arrived', request: readOf(3)});
-		expect([first.length, second.length, starts.length, measuresOf(third).length, startIn(third) === undefined]).toEqual([4, 0, 2, 0, false]);
+		expect([first.length, second.length, starts.length, loadProbesIn(third).length, startIn(third) === undefined]).toEqual([4, 0, 2, 0, false]);
 	});
 
 	// Guards VMs of large fleets, whose processors are small, against work per call that grows with the number of backend
@@ -78,7 +78,7 @@
 		let started = 0;
 		for (let call = 1; call <= 200; call++) {
 			const effects = driver.handle({type: 'call-arrived', request: readOf(call)});
-			const measures = measuresOf(effects);
+			const measures = loadProbesIn(effects);
 			measured += measures.length;
 			const all = [...effects, ...answer(driver, measures, quiet), ...driver.passTime(50)];
 			const starts = all.filter((effect): effect is Start => effect.type === 'start-attempt');
@@ -94,10 +94,10 @@
 	// Guards calls against being placed at once while all backend servers are slow for a moment.
 	it('waits a moment when no backend server can answer within the objective', () => {
 		const driver = driverOf(4);
-		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
+		const measures = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		const atOnce = answer(driver, measures, slow);
 		const later = driver.passTime(65);
-		const placed = answer(driver, measuresOf(later), quiet);
+		const placed = answer(driver, loadProbesIn(later), quiet);
 		expect([startIn(atOnce) === undefined, startIn(later) === undefined, startIn(placed) === undefined]).toEqual([true, true, false]);
 	});
 
@@ -108,7 +108,7 @@
 		const effects = [...driver.handle({type: 'call-arrived', request: readOf(1)})];
 		let refusal: (CallEffect & {type: 'refuse'}) | undefined;
 		while (refusal === undefined && driver.now < 1000) {
-			effects.push(...answer(driver, measuresOf(effects.splice(0)), full), ...driver.passTime(5));
+			effects.push(...answer(driver, loadProbesIn(effects.splice(0)), full), ...driver.passTime(5));
 			refusal = effects.find((effect): effect is CallEffect & {type: 'refuse'} => effect.type === 'refuse');
 		}
 
@@ -123,7 +123,7 @@
 		let start: Start | undefined;
 		while (start === undefined && driver.now < 500) {
 			effects.push(
-				...answer(driver, measuresOf(effects.splice(0)), identity => identity === 'identity-0' ? reportOf('p', {workTimeFactor: 7}) : reportOf('p', {workTimeFactor: 3})),
+				...answer(driver, loadProbesIn(effects.splice(0)), identity => identity === 'identity-0' ? reportOf('p', {workTimeFactor: 7}) : reportOf('p', {workTimeFactor: 3})),
 				...driver.passTime(5),
 			);
 			start = startIn(effects);
@@ -136,13 +136,13 @@
 	it('recognises a retry by its remaining time, and does not give it a fast backend server', () => {
 		const driver = driverOf(2);
 		for (let call = 10; call < 20; call++) {
-			const start = startIn(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(call)})), quiet))!;
+			const start = startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(call)})), quiet))!;
 			driver.answer(start.attemptId, quiet());
 			driver.now += 200;
 		}
 
 		const effects = [...driver.handle({type: 'call-arrived', request: {...readOf(2), timeoutMilliseconds: 850}})];
-		const start = startIn(answer(driver, measuresOf(effects), identity => reportOf('p', {workTimeFactor: identity === 'identity-0' ? 4 : 1})));
+		const start = startIn(answer(driver, loadProbesIn(effects), identity => reportOf('p', {workTimeFactor: identity === 'identity-0' ? 4 : 1})));
 		expect(start?.identity).toEqual('identity-0');
 	});
 
@@ -151,11 +151,11 @@
 		const driver = driverOf(2);
 		const justFull = () => reportOf('p', {inFlight: 6, workTimeFactor: 0.8});
 		const effects = driver.handle({type: 'call-arrived', request: readOf(1)});
-		const atOnce = startIn(answer(driver, measuresOf(effects), justFull));
+		const atOnce = startIn(answer(driver, loadProbesIn(effects), justFull));
 		let start: Start | undefined;
 		while (start === undefined && driver.now < 200) {
 			const passed = driver.passTime(5);
-			start = startIn([...passed, ...answer(driver, measuresOf(passed), justFull)]);
+			start = startIn([...passed, ...answer(driver, loadProbesIn(passed), justFull)]);
 		}
 
 		expect([atOnce, start === undefined, driver.now >= 75]).toEqual([undefined, false, true]);
@@ -164,10 +164,10 @@
 	// Guards calls against an old report that looks better than the fresh ones.
 	it('prefers fresh reports to an old one that looks better', () => {
 		const driver = driverOf(5);
-		const before = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
+		const before = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		answer(driver, before, quiet);
 		driver.now += 2000;
-		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(2)}));
+		const measures = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(2)}));
 		const probed = new Set(measures.map(({identity}) => identity));
 		const start = startIn([
 			...answer(driver, measures, () => reportOf('p', {inFlight: 4, workTimeFactor: 1.2})), ...driver.passTime(20),
@@ -178,16 +178,16 @@
 	// Guards the objective of an idempotent call against a neighbour that starts during the call.
 	it('hedges an idempotent call in time for its objective', () => {
 		const driver = driverOf(4);
-		startIn(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)})), quiet));
+		startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)})), quiet));
 		const effects = driver.passTime(160);
-		const second = startIn([...effects, ...answer(driver, measuresOf(effects), quiet)]);
+		const second = startIn([...effects, ...answer(driver, loadProbesIn(effects), quiet)]);
 		expect(second === undefined).toEqual(false);
 	});
 
 	it('does not hedge a call that may run only once', () => {
 		const driver = driverOf(4);
-		answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1, {isIdempotent: false})})), quiet);
-		expect(measuresOf(driver.passTime(400))).toEqual([]);
+		answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1, {isIdempotent: false})})), quiet);
+		expect(loadProbesIn(driver.passTime(400))).toEqual([]);
 	});
 });
 
@@ -201,20 +201,20 @@
 }
 
 describe('probes and traffic between data centres', () => {
-	const areLocal = (measures: readonly Measure[]) => measures.map(({identity}) => Number(identity.slice('identity-'.length)) < 3);
+	const areLocal = (measures: readonly LoadProbeStart[]) => measures.map(({identity}) => Number(identity.slice('identity-'.length)) < 3);
 
 	// Guards against traffic between data centres for probes that the local data centre can answer.
 	it('use the local data centre alone if it has a suitable backend server', () => {
 		const driver = inTwoDataCentres(6);
-		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
+		const measures = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		const effects = answer(driver, measures, quiet);
-		expect([areLocal(measures), measuresOf(effects).length, startIn(effects) === undefined]).toEqual([[true, true, true], 0, false]);
+		expect([areLocal(measures), loadProbesIn(effects).length, startIn(effects) === undefined]).toEqual([[true, true, true], 0, false]);
 	});
 
 	// Guards calls against slow local backend servers while remote ones are fast.
 	it('use the other data centres if the local one has no suitable backend server', () => {
 		const driver = inTwoDataCentres(6);
-		const second = measuresOf(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)})), slow));
+		const second = loadProbesIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)})), slow));
 		const start = startIn(answer(driver, second, quiet));
 		expect([areLocal(second), start !== undefined && Number(start.identity.slice('identity-'.length)) >= 3]).toEqual([[false, false, false], true]);
 	});
@@ -233,15 +233,15 @@
 		driver.now += 1000;
 		const lastSlot = () => reportOf('p', {inFlight: 5, workTimeFactor: 1});
 		const effects = [...driver.handle({type: 'call-arrived', request: readOf(1, {objectiveMilliseconds: 400})})];
-		const first = startIn([...answer(driver, measuresOf(effects), lastSlot), ...driver.passTime(20)]);
-		expect([first === undefined, measuresOf(driver.passTime(140)).length]).toEqual([false, 0]);
+		const first = startIn([...answer(driver, loadProbesIn(effects), lastSlot), ...driver.passTime(20)]);
+		expect([first === undefined, loadProbesIn(driver.passTime(140)).length]).toEqual([false, 0]);
 	});
 });
 
 /** The attempt that follows from these effects if every backend server reports that it is idle. */
 function placed(driver: EngineDriver, effects: readonly CallEffect[]): Start | undefined {
-	const all = [...effects, ...answer(driver, measuresOf(effects), quiet), ...driver.passTime(30)];
-	return startIn([...all, ...answer(driver, measuresOf(all), quiet)]);
+	const all = [...effects, ...answer(driver, loadProbesIn(effects), quiet), ...driver.passTime(30)];
+	return startIn([...all, ...answer(driver, loadProbesIn(all), quiet)]);
 }
 
 describe('backend servers that shed calls although they have room', () => {
@@ -251,7 +251,7 @@
 		let attempts = 0;
 		let refused = 0;
 		for (let call = 1; call <= 60; call++) {
-			const start = placed(driver, driver.handle({type: 'call-arrived', request: readOf(call, {mostAttempts: 1})}));
+			const start = placed(driver, driver.handle({type: 'call-arrived', request: readOf(call, {maxAttempts: 1})}));
 			if (start === undefined) {
 				refused++;
 				continue;
@@ -271,7 +271,7 @@
 	// Guards callers of a shed call against a retry delay that is too long for their objective.
 	it('make callers retry at once', () => {
 		const driver = driverOf(2);
-		const start = startIn(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1, {mostAttempts: 1})})), quiet))!;
+		const start = startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1, {maxAttempts: 1})})), quiet))!;
 		const refusal = driver.head(start.attemptId, {status: 503, isDeclaredNotRun: true, report: quiet()})
 			.find((effect): effect is CallEffect & {type: 'refuse'} => effect.type === 'refuse');
 		expect([refusal?.outcome, refusal !== undefined && refusal.retryAfterMilliseconds! <= 10]).toEqual(['not-run', true]);
@@ -299,7 +299,7 @@
 describe('the rule of a route', () => {
 	it('ends a call at the route\'s timeout', () => {
 		const driver = driverOf(1);
-		const start = startIn(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1, {timeoutMilliseconds: 500, isIdempotent: false})})), quiet))!;
+		const start = startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1, {timeoutMilliseconds: 500, isIdempotent: false})})), quiet))!;
 		driver.sent(start.attemptId);
 		driver.passTime(490);
 		expect(linesOf(driver.passTime(20))).toEqual(['cancel-attempt', 'refuse deadline-exceeded unknown 504', 'call-ended']);
@@ -309,12 +309,12 @@
 	it('bounds the backend servers that a call is sent to', () => {
 		const driver = driverOf(6);
 		const seen: string[] = [];
-		let start = startIn(answer(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1, {mostAttempts: 2})})), quiet));
+		let start = startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1, {maxAttempts: 2})})), quiet));
 		while (start !== undefined) {
 			seen.push(start.identity);
 			driver.sent(start.attemptId);
 			const effects = driver.fail(start.attemptId, 'reset-after-sending');
-			start = startIn([...effects, ...answer(driver, measuresOf(effects), quiet)]);
+			start = startIn([...effects, ...answer(driver, loadProbesIn(effects), quiet)]);
 		}
 
 		expect(seen.length).toEqual(2);
--- a/src/common/calls/engine-context.ts
+++ b/src/common/calls/engine-context.ts
@@ -46,9 +46,9 @@
 	readonly timers: TimerQueue<Timer>;
 	readonly suspects: CrashSuspects;
 	/** Services whose queued calls are started or refused at the end of this event, since capacity or servers changed. */
-	readonly freed: Set<ServiceState>;
+	readonly servicesToDrain: Set<ServiceState>;
 	/** Records of processes that were replaced by a new one in this event; their attempts are still open. */
-	readonly replaced: BackendServerState[];
+	readonly replacedServers: BackendServerState[];
 	readonly rateQuota: RateQuota;
 	shares: FleetShares | undefined;
 	/** True while no attempt may start, since the state may be outdated after a pause of the VM. */
--- a/src/common/calls/engine-driver.test.ts
+++ b/src/common/calls/engine-driver.test.ts
@@ -64,7 +64,7 @@
 		});
 		this.handle({
 			type: 'shares', shares: {
-				measuringPart: 0, measuringFrom: 0, measuringUntil: 0, connectionPart: 0.2, vmCount: 1,
+				loadProbeFraction: 0, loadProbesFrom: 0, loadProbesUntil: 0, connectionFraction: 0.2, vmCount: 1,
 			},
 		});
 		this.handle({type: 'configured', configuration});
@@ -121,14 +121,14 @@
 }
 
 /** The effect that sends a load probe. */
-export type Measure = CallEffect & {type: 'measure'};
+export type LoadProbeStart = CallEffect & {type: 'measure'};
 
 /** Returns the load probes among the effects. */
-export function measuresOf(effects: readonly CallEffect[]): Measure[] {
-	return effects.filter((effect): effect is Measure => effect.type === 'measure');
+export function loadProbesIn(effects: readonly CallEffect[]): LoadProbeStart[] {
+	return effects.filter((effect): effect is LoadProbeStart => effect.type === 'measure');
 }
 
 /** Answers load probes with the report for each backend server (undefined = no answer); returns the resulting effects. */
-export function answerMeasures(driver: EngineDriver, loadProbes: readonly Measure[], reportFor: (identity: string) => LoadReport | undefined): CallEffect[] {
-	return loadProbes.flatMap(({measurementId, identity}) => [...driver.handle({type: 'measured', measurementId, report: reportFor(identity)})]);
+export function answerLoadProbes(driver: EngineDriver, loadProbes: readonly LoadProbeStart[], reportFor: (identity: string) => LoadReport | undefined): CallEffect[] {
+	return loadProbes.flatMap(({loadProbeId, identity}) => [...driver.handle({type: 'measured', loadProbeId, report: reportFor(identity)})]);
 }
--- a/src/common/calls/evacuation.test.ts
+++ b/src/common/calls/evacuation.test.ts
@@ -1,11 +1,11 @@
 import {expect} from 'earl';
 import {
-	answerMeasures, configurationOf, EngineDriver, linesOf, measuresOf, reportOf, requestOf, startIn,
+	answerLoadProbes, configurationOf, EngineDriver, linesOf, loadProbesIn, reportOf, requestOf, startIn,
 } from './engine-driver.test.ts';
 import {type CallConfiguration, type CallEffect} from './types.ts';
 
 const rule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, mostAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, maxAttempts: 3, priority: 0,
 };
 
 /** Backend servers 0 and 1 are in the data centre `north`, the others in `south`. */
@@ -32,7 +32,7 @@
 	let next = [...effects];
 	for (const end = driver.now + milliseconds; driver.now < end;) {
 		all.push(...next);
-		next = [...answerMeasures(driver, measuresOf(next), quiet), ...driver.passTime(5)];
+		next = [...answerLoadProbes(driver, loadProbesIn(next), quiet), ...driver.passTime(5)];
 	}
 
 	return [...all, ...next];
@@ -60,16 +60,16 @@
 
 	it('send no load probes there', () => {
 		const driver = new EngineDriver(configuration(4, ['north']));
-		const probed = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)})).map(({identity}) => identity);
+		const probed = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)})).map(({identity}) => identity);
 		expect(probed.toSorted()).toEqual(['identity-2', 'identity-3']);
 	});
 
 	// Guards against an attempt that was being probed for when the evacuation came into force.
 	it('are placed elsewhere when probes of the data centre are still outstanding', () => {
 		const driver = new EngineDriver(configuration(4));
-		const measures = measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)}));
+		const measures = loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)}));
 		const changed = driver.handle({type: 'configured', configuration: configuration(4, ['north'])});
-		const effects = [...changed, ...answerMeasures(driver, measures, quiet)];
+		const effects = [...changed, ...answerLoadProbes(driver, measures, quiet)];
 		expect(serversOf(runWithQuietReports(driver, effects)).filter(identity => identity < 'identity-2')).toEqual([]);
 	});
 
@@ -101,7 +101,7 @@
 	it('that wait are refused at once when the last data centre is evacuated', () => {
 		const driver = new EngineDriver(configuration(2));
 		const full = () => reportOf('p', {inFlight: 6, queued: 4});
-		answerMeasures(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(1)})), full);
+		answerLoadProbes(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1)})), full);
 		const effects = driver.handle({type: 'configured', configuration: configuration(2, ['north'])});
 		expect(linesOf(effects)).toEqual(['refuse no-backend-server not-run 503', 'call-ended']);
 	});
--- a/src/common/calls/headroom.ts
+++ b/src/common/calls/headroom.ts
@@ -1,6 +1,6 @@
 /** Estimates from the latest load reports how likely a backend server is to have room. */
 import {MovingAverage} from './moving-average.ts';
-import {roomyPart, slowFrom} from './load-levels.ts';
+import {lightLoadFraction, slowWorkTimeFactor} from './load-levels.ts';
 import {type LoadReport} from './types.ts';
 
 /** Fraction assumed before any report, and its weight in reports. */
@@ -28,7 +28,7 @@
 
 	/** Adds a load report of a backend server. */
 	add({inFlight, queued, slots, workTimeFactor = 1}: LoadReport): void {
-		const hasRoom = inFlight + queued + 1 <= roomyPart * slots && workTimeFactor < slowFrom;
+		const hasRoom = inFlight + queued + 1 <= lightLoadFraction * slots && workTimeFactor < slowWorkTimeFactor;
 		this._roomFraction.add(hasRoom ? 1 : 0);
 	}
 
@@ -38,7 +38,7 @@
 	}
 
 	/** Number of backend servers to probe, at most `max`. */
-	probes(max: number): number {
+	probeCount(max: number): number {
 		const needed = Math.ceil(Math.log(maxNoRoomProbability) / Math.log(Math.max(maxNoRoomProbability, 1 - this._roomFraction.value)));
 		return Math.min(max, Math.max(minProbes, needed));
 	}
--- a/src/common/calls/hedging.ts
+++ b/src/common/calls/hedging.ts
@@ -9,7 +9,7 @@
  * Maximum attempts of one call, independent of the retry budget: three backend servers that fail the same call are no
  * coincidence.
  */
-export const mostAttempts = 3;
+export const maxAttempts = 3;
 
 /** Answers of a class that are required before its quantile is used for hedging. */
 const minHedgeSamples = 50;
@@ -65,7 +65,7 @@
 	 */
 	plan(attempt: Attempt, now: Instant): void {
 		const {call} = attempt;
-		const {hedgeQuantile, hedgeFloorMilliseconds} = this._context.tuning;
+		const {hedgeQuantile, minHedgeDelayMilliseconds} = this._context.tuning;
 		const isRead = isBodiless(call.request);
 		const times = call.class.answerTimes;
 		const isOnDemand = call.serviceState.isMeasuredOnDemand;
@@ -74,7 +74,7 @@
 		}
 
 		const delay = isOnDemand ? hedgeDelay(call, now) : times.quantile(hedgeQuantile)!;
-		const at = now + Math.max(delay, hedgeFloorMilliseconds);
+		const at = now + Math.max(delay, minHedgeDelayMilliseconds);
 		if (at < call.deadline) {
 			call.timers.push(this._context.timers.add(at, {type: 'hedge', attempt}));
 		}
@@ -93,9 +93,9 @@
 		}
 
 		const hasRoom = service.queue.size === 0 && !service.limit.isCongested && service.inFlight < service.limit.value;
-		const mayTry = call.probing === undefined && call.attemptCount < (call.request.rule?.mostAttempts ?? mostAttempts);
-		if (hasRoom && mayTry && call.attempts.size === 1 && !this._context.suspects.isQuarantined(call.request.fingerprint, now) && service.retryBudget.isOpen) {
-			call.failedOn.add(attempt.server);
+		const mayTry = call.probing === undefined && call.attemptCount < (call.request.rule?.maxAttempts ?? maxAttempts);
+		if (hasRoom && mayTry && call.attempts.size === 1 && !this._context.suspects.isQuarantined(call.request.fingerprint, now) && service.retryBudget.hasToken) {
+			call.failedServers.add(attempt.server);
 			if (this._start(call, now)) {
 				service.retryBudget.tryTake();
 			}
@@ -107,14 +107,14 @@
 	 * half as long again; a hedge after the usual time would take a slot from another call for an answer that is about to
 	 * arrive.
 	 */
-	private _isFirstAnswerLikely({call, prospect, startedAt}: Attempt, now: Instant): boolean {
+	private _isFirstAnswerLikely({call, loadSnapshot, startedAt}: Attempt, now: Instant): boolean {
 		if (!call.serviceState.isMeasuredOnDemand) {
 			return false;
 		}
 
 		const {answerTimes} = call.serviceState;
-		const byNow = answerTimes.chance(workEstimate(call), prospect, now - startedAt);
-		const withinObjective = answerTimes.chance(workEstimate(call), prospect, call.objectiveAt - startedAt);
+		const byNow = answerTimes.probabilityWithin(workEstimate(call), loadSnapshot, now - startedAt);
+		const withinObjective = answerTimes.probabilityWithin(workEstimate(call), loadSnapshot, call.objectiveAt - startedAt);
 		return (1 - lostAnswerFraction) * (withinObjective - byNow) >= sufficientProbability * (((1 - lostAnswerFraction) * (1 - byNow)) + lostAnswerFraction);
 	}
 
--- a/src/common/calls/late-calls.test.ts
+++ b/src/common/calls/late-calls.test.ts
@@ -1,12 +1,12 @@
 /** Calls that will hardly meet their objective while backend servers have room. */
 import {expect} from 'earl';
 import {
-	answerMeasures, configurationOf, EngineDriver, linesOf, measuresOf, reportOf, requestOf, type Start, startIn,
+	answerLoadProbes, configurationOf, EngineDriver, linesOf, loadProbesIn, reportOf, requestOf, type Start, startIn,
 } from './engine-driver.test.ts';
 import {type CallEffect, type CallRequest, type CallRule} from './types.ts';
 
 const rule: CallRule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 8000, objectiveMilliseconds: 2500, mostAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 8000, objectiveMilliseconds: 2500, maxAttempts: 3, priority: 0,
 };
 
 /** Work time of the calls from which the VM learns the cost of the service's calls. */
@@ -24,7 +24,7 @@
 function trainedDriver(): EngineDriver {
 	const driver = new EngineDriver(configurationOf(8, {retryShare: 1, measuring: {mode: 'on-demand', callsPerWindow: 10_000}}));
 	for (let call = 100; call < 112; call++) {
-		const start = startIn(answerMeasures(driver, measuresOf(driver.handle({type: 'call-arrived', request: readOf(call)})), quiet))!;
+		const start = startIn(answerLoadProbes(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(call)})), quiet))!;
 		driver.now += usualWorkMilliseconds;
 		driver.answer(start.attemptId, quiet());
 	}
@@ -40,7 +40,7 @@
 	let newEffects: readonly CallEffect[] = driver.handle({type: 'call-arrived', request});
 	for (let step = 0; step < 70; step++) {
 		effects.push(...newEffects);
-		newEffects = [...answerMeasures(driver, measuresOf(newEffects), quiet), ...driver.passTime(5)];
+		newEffects = [...answerLoadProbes(driver, loadProbesIn(newEffects), quiet), ...driver.passTime(5)];
 	}
 
 	return {start: startIn(effects), lines: linesOf(effects).filter(line => line.startsWith('refuse'))};
--- a/src/common/calls/measuring-schedule.test.ts
+++ b/src/common/calls/load-probe-schedule.test.ts
@@ -3,7 +3,7 @@
 import {backendServerSchema, serviceSchema} from '../model/resources.ts';
 import {seededRandom} from '../random/random.ts';
 import {DefaultCallEngine} from './call-engine.ts';
-import {MeasuringSchedule} from './measuring-schedule.ts';
+import {LoadProbeSchedule} from './load-probe-schedule.ts';
 import {type CallConfiguration, type FleetShares} from './types.ts';
 
 const seed = 20_261_203;
@@ -26,12 +26,12 @@
 function measuringTimes(configuration: CallConfiguration, shares: FleetShares, seedOfVm: number, pauses: readonly number[]): number[] {
 	const random = seededRandom(seedOfVm);
 	const engine = new DefaultCallEngine({random, settings: {dataCentre: 'north'}});
-	const startedAt = Math.max(0, shares.measuringFrom - 1400);
+	const startedAt = Math.max(0, shares.loadProbesFrom - 1400);
 	engine.handle({type: 'shares', shares}, startedAt);
 	engine.handle({type: 'configured', configuration}, startedAt);
 	const times: number[] = [];
 	let callId = 1;
-	for (let now = startedAt, turn = 0; now < shares.measuringUntil + 2500; now += pauses[turn++ % pauses.length]!) {
+	for (let now = startedAt, turn = 0; now < shares.loadProbesUntil + 2500; now += pauses[turn++ % pauses.length]!) {
 		for (const effect of engine.handle({type: 'tick'}, now)) {
 			if (effect.type === 'measure') {
 				// It arrives within its time limit or not at all.
@@ -39,7 +39,7 @@
 			}
 		}
 
-		// A burst of calls must not raise the number of measuring calls.
+		// A burst of calls must not raise the number of load probes.
 		engine.handle({
 			type: 'call-arrived', request: {
 				callId: callId++, service: 'reads', caller: 'a', method: 'GET', fingerprint: 'f', timeoutMilliseconds: 50, bodyBytes: 0, idempotencyKey: undefined, mayRetry: true,
@@ -85,10 +85,10 @@
 				(callsPerWindow, tailWeight, vms) => {
 					const configuration = configurationOf({callsPerWindow, tailWeight});
 					const times = vms.flatMap(([handover, pauses], index) => {
-						const shares = {measuringPart: 1 / slots, connectionPart: 1 / slots, vmCount: slots};
-						const former = measuringTimes(configuration, {...shares, measuringFrom: 0, measuringUntil: 1500 + handover}, index, pauses);
+						const shares = {loadProbeFraction: 1 / slots, connectionFraction: 1 / slots, vmCount: slots};
+						const former = measuringTimes(configuration, {...shares, loadProbesFrom: 0, loadProbesUntil: 1500 + handover}, index, pauses);
 						const next = measuringTimes(configuration, {
-							...shares, measuringFrom: 1500 + handover + windowMilliseconds + 50, measuringUntil: 6000,
+							...shares, loadProbesFrom: 1500 + handover + windowMilliseconds + 50, loadProbesUntil: 6000,
 						}, index + 100, pauses);
 						return [...former, ...next];
 					});
@@ -103,7 +103,7 @@
 		// Two operators declare the same budget, one for the shortest tail and one for small, crowded backend servers. A
 		// schedule that never sends a call would pass the first test too.
 		const shares = {
-			measuringPart: 0.5, connectionPart: 0.5, vmCount: 2, measuringFrom: 0, measuringUntil: 60_000,
+			loadProbeFraction: 0.5, connectionFraction: 0.5, vmCount: 2, loadProbesFrom: 0, loadProbesUntil: 60_000,
 		};
 		const spent = [1, 0].map(tailWeight => measuringTimes(configurationOf({callsPerWindow: 20, tailWeight}), shares, 1, [7]).length);
 		expect(spent[0]!).toBeGreaterThanOrEqual(500);
@@ -116,7 +116,7 @@
 		const configuration = configurationOf({callsPerWindow: 60, tailWeight: 1});
 		const engine = new DefaultCallEngine({random: seededRandom(seed), settings: {dataCentre: 'north'}});
 		const shares: FleetShares = {
-			measuringPart: 1 / slots, measuringFrom: 0, measuringUntil: 1e9, connectionPart: 1, vmCount: slots,
+			loadProbeFraction: 1 / slots, loadProbesFrom: 0, loadProbesUntil: 1e9, connectionFraction: 1, vmCount: slots,
 		};
 		engine.handle({type: 'shares', shares}, 0);
 		engine.handle({type: 'configured', configuration}, 0);
@@ -143,11 +143,11 @@
 	});
 
 	it('refuses a measuring call before the next one is due, whatever its reason', () => {
-		// Guards the measuring budget against a second code path that sends measuring calls.
-		const schedule = new MeasuringSchedule();
+		// Guards the measuring budget against a second code path that sends load probes.
+		const schedule = new LoadProbeSchedule();
 		const budget = {callsPerWindow: 60, windowMilliseconds, tailWeight: 1};
 		const shares: FleetShares = {
-			measuringPart: 1 / slots, measuringFrom: 0, measuringUntil: 10_000, connectionPart: 1, vmCount: slots,
+			loadProbeFraction: 1 / slots, loadProbesFrom: 0, loadProbesUntil: 10_000, connectionFraction: 1, vmCount: slots,
 		};
 		const answers = Array.from({length: 1000}, (_, now) => schedule.trySpend(budget, shares, now));
 		expect(answers.filter(Boolean).length).toEqual(10);
--- a/src/common/calls/measuring-schedule.ts
+++ b/src/common/calls/load-probe-schedule.ts
@@ -1,4 +1,4 @@
-/** Schedule of this VM's paced measuring calls to one backend server. */
+/** Schedule of this VM's paced load probes to one backend server. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type FleetShares} from './types.ts';
 
@@ -10,8 +10,8 @@
 	readonly tailWeight: number;
 };
 
-/** Maximum duration of a measuring call; also the margin that is added to windows. */
-export const measuringTimeout: Milliseconds = 50;
+/** Maximum duration of a load probe; also the margin that is added to windows. */
+export const loadProbeTimeoutMilliseconds: Milliseconds = 50;
 
 /** Fraction of the budget that is spent at a tail weight of 0: an idle service must keep some data. */
 const minBudgetFraction = 0.05;
@@ -23,7 +23,7 @@
  */
 const idleSpacingFactor = 30;
 
-/** Input for the decision whether a measuring call is due. */
+/** Input for the decision whether a load probe is due. */
 export type MeasuringNeed = {
 	/** When the newest report was made. */
 	readonly at: Instant;
@@ -32,12 +32,12 @@
 };
 
 /**
- * Spaces measuring calls evenly in time, so that a burst of calls cannot raise their number. They are sent at least
+ * Spaces load probes evenly in time, so that a burst of calls cannot raise their number. They are sent at least
  * (window + timeout) / allowed apart, so no window of that length at the sender holds more than `allowed`. A call arrives
  * within its timeout or not at all, so the same holds for every window at the backend server. The shares of all VMs add
  * up to at most 1, so the sum of their calls stays within the budget too.
  */
-export class MeasuringSchedule {
+export class LoadProbeSchedule {
 	private _lastSentAt: Instant = -Infinity;
 	private readonly _sentAt: Instant[] = [];
 	private _startedAt: Instant = -Infinity;
@@ -45,32 +45,32 @@
 
 	/** Calls that this VM may send in a window under its present share. */
 	static allowed(budget: MeasuringBudget, shares: FleetShares | undefined, now: Instant): number {
-		if (shares === undefined || now < shares.measuringFrom || now >= shares.measuringUntil) {
+		if (shares === undefined || now < shares.loadProbesFrom || now >= shares.loadProbesUntil) {
 			return 0;
 		}
 
 		// A share of less than one call gives none: rounded up, sixteen VMs would send sixteen calls.
-		return Math.floor((shares.measuringPart * budget.callsPerWindow) + 1e-9);
+		return Math.floor((shares.loadProbeFraction * budget.callsPerWindow) + 1e-9);
 	}
 
 	/** Time between two calls by the operator's tail weight, never below what the budget requires. */
 	static spacing(budget: MeasuringBudget, allowed: number): Milliseconds {
 		const budgetFraction = minBudgetFraction + ((1 - minBudgetFraction) * budget.tailWeight);
-		return (budget.windowMilliseconds + measuringTimeout) / allowed / budgetFraction;
+		return (budget.windowMilliseconds + loadProbeTimeoutMilliseconds) / allowed / budgetFraction;
 	}
 
 	/**
-	 * When the next measuring call is due: one spacing after the last call, and one spacing after the newest report, since
-	 * a report that came with an answer makes a measuring call redundant; the first call waits for the start phase.
+	 * When the next load probe is due: one spacing after the last load probe, and one spacing after the newest report, since
+	 * a report that came with an answer makes a load probe redundant; the first call waits for the start phase.
 	 * Undefined while no call is allowed.
 	 */
 	dueAt(budget: MeasuringBudget, shares: FleetShares | undefined, need: MeasuringNeed, now: Instant): Instant | undefined {
-		const allowed = MeasuringSchedule.allowed(budget, shares, now);
+		const allowed = LoadProbeSchedule.allowed(budget, shares, now);
 		if (allowed === 0) {
 			return undefined;
 		}
 
-		const spacing = MeasuringSchedule.spacing(budget, allowed) * (need.isIdle ? idleSpacingFactor : 1);
+		const spacing = LoadProbeSchedule.spacing(budget, allowed) * (need.isIdle ? idleSpacingFactor : 1);
 		return Math.max(this._lastSentAt + spacing, need.at + spacing, this._startedAt + (this._phase * spacing));
 	}
 
@@ -83,10 +83,10 @@
 		this._phase = phase;
 	}
 
-	/** Records a measuring call; false = the budget forbids it now, whatever the reason for the call. */
+	/** Records a load probe; false = the budget forbids it now, whatever the reason for the call. */
 	trySpend(budget: MeasuringBudget, shares: FleetShares | undefined, now: Instant): boolean {
-		const allowed = MeasuringSchedule.allowed(budget, shares, now);
-		if (allowed === 0 || now < this._lastSentAt + ((budget.windowMilliseconds + measuringTimeout) / allowed)) {
+		const allowed = LoadProbeSchedule.allowed(budget, shares, now);
+		if (allowed === 0 || now < this._lastSentAt + ((budget.windowMilliseconds + loadProbeTimeoutMilliseconds) / allowed)) {
 			return false;
 		}
 
--- a/src/common/calls/load-prober.ts
+++ b/src/common/calls/load-prober.ts
@@ -36,7 +36,7 @@
 	readonly context: EngineContext;
 	readonly placer: DemandPlacer;
 	/** Sends a load probe; its end is reported by calling `onProbeEnded`. */
-	readonly measure: (server: BackendServerState) => void;
+	readonly sendProbe: (server: BackendServerState) => void;
 	/** Called when all reports, or as many as came in time, are available. */
 	readonly onReady: (call: Call, probing: PendingProbes, now: Instant) => void;
 };
@@ -57,7 +57,7 @@
 	constructor(options: LoadProberOptions) {
 		this._context = options.context;
 		this._placer = options.placer;
-		this._sendProbe = options.measure;
+		this._sendProbe = options.sendProbe;
 		this._onReady = options.onReady;
 	}
 
@@ -67,8 +67,8 @@
 	}
 
 	/** A load probe has ended, with or without a report. */
-	onMeasured(server: BackendServerState, now: Instant): void {
-		server.measuringSince = undefined;
+	onProbeEnded(server: BackendServerState, now: Instant): void {
+		server.probeSentAt = undefined;
 		const calls = this._waiting.get(server);
 		this._waiting.delete(server);
 		for (const call of calls ?? []) {
@@ -108,7 +108,7 @@
 			return;
 		}
 
-		call.timers.push(this._context.timers.add(now + this._context.tuning.demandWaitMilliseconds, {type: 'probing', call, probing}));
+		call.timers.push(this._context.timers.add(now + this._context.tuning.maxProbeWaitMilliseconds, {type: 'probing', call, probing}));
 	}
 
 	/**
@@ -116,13 +116,13 @@
 	 * allowance permits.
 	 */
 	private _ensureProbe(server: BackendServerState, call: Call, now: Instant): boolean {
-		const {demandFreshMilliseconds} = this._context.tuning;
-		const isWarmUpReported = call.serviceState.warmUp === undefined || server.warmUp.isKnown(now);
-		if (isWarmUpReported && now - server.reportedAt <= demandFreshMilliseconds) {
+		const {reportFreshMilliseconds} = this._context.tuning;
+		const isWarmUpReported = call.serviceState.warmUp === undefined || server.warmUp.isRecentlyReported(now);
+		if (isWarmUpReported && now - server.reportedAt <= reportFreshMilliseconds) {
 			return false;
 		}
 
-		if (server.measuringSince !== undefined) {
+		if (server.probeSentAt !== undefined) {
 			return true;
 		}
 
@@ -130,7 +130,7 @@
 			return false;
 		}
 
-		server.measuringSince = now;
+		server.probeSentAt = now;
 		this._sendProbe(server);
 		return true;
 	}
@@ -148,8 +148,8 @@
 	private _finish(call: Call, probing: PendingProbes, now: Instant): void {
 		call.probing = undefined;
 		// Two rounds that timed out are the longest that a call is held for reports.
-		const mayProbeAgain = probing.round < maxRounds && probing.candidates.length > 0 && now - probing.startedAt <= this._context.tuning.demandWaitMilliseconds;
-		if (mayProbeAgain && !this._placer.hasGoodPlace(call, now)) {
+		const mayProbeAgain = probing.round < maxRounds && probing.candidates.length > 0 && now - probing.startedAt <= this._context.tuning.maxProbeWaitMilliseconds;
+		if (mayProbeAgain && !this._placer.hasSuitableServer(call, now)) {
 			this._start(call, probing, {...probing, round: probing.round + 1}, now);
 			return;
 		}
--- a/src/common/calls/outcomes-under-load.test.ts
+++ b/src/common/calls/outcomes-under-load.test.ts
@@ -43,7 +43,7 @@
 		// Each VM gets a dozen calls per second and probes a few of 177 backend servers for each.
 		const figures = runOnDemand('large-over', {milliseconds: 3000});
 		expect(figures.earned).toBeGreaterThanOrEqual(0.5);
-		// The budget of 60 measuring calls per second and backend server allows 8.3 per call, and the tokens saved up come on
+		// The budget of 60 load probes per second and backend server allows 8.3 per call, and the tokens saved up come on
 		// top.
 		expect(figures.measuringsACall).toBeLessThanOrEqual(9);
 	});
--- a/src/common/calls/health-judge.ts
+++ b/src/common/calls/outlier-detector.ts
@@ -9,7 +9,7 @@
 /** An attempt cancelled before this many mean answer times does not count as silent. */
 const silenceFactor = 10;
 
-export class HealthJudge {
+export class OutlierDetector {
 	private readonly _context: EngineContext;
 
 	constructor(context: EngineContext) {
@@ -19,7 +19,7 @@
 	onAttemptFailed(attempt: Attempt, failure: AttemptFailure, now: Instant): void {
 		switch (failure) {
 			case 'connection-refused': {
-				this._context.suspects.confirm(CrashSuspects.crashIdentity(attempt.server.identity, attempt.instance), now);
+				this._context.suspects.confirmCrash(CrashSuspects.crashIdentity(attempt.server.identity, attempt.instance), now);
 				this._recordFailure(attempt, now);
 				break;
 			}
@@ -52,22 +52,22 @@
 	}
 
 	/** Checks for silence in the attempts that are about to be cancelled because the winner was answered. */
-	beforeCancel(call: Call, winner: Attempt, now: Instant): void {
+	onAttemptsSuperseded(call: Call, winner: Attempt, now: Instant): void {
 		for (const attempt of call.attempts) {
 			if (attempt !== winner) {
-				this.onGivenUp(attempt, now);
+				this.onAttemptAbandoned(attempt, now);
 			}
 		}
 	}
 
 	/** Handles an attempt that is cancelled without an answer, at its deadline or because another one was faster. */
-	onGivenUp(attempt: Attempt, now: Instant): void {
+	onAttemptAbandoned(attempt: Attempt, now: Instant): void {
 		const waited = now - attempt.startedAt;
 		if (!attempt.isSent || attempt.hasHead) {
 			return;
 		}
 
-		attempt.server.onGivenUp(waited, attempt.call.class.answerMean, now);
+		attempt.server.onCancelled(waited, attempt.call.class.answerMean, now);
 		if (waited > silenceFactor * attempt.call.class.answerMean) {
 			this._onSilence(attempt, now);
 		}
@@ -84,7 +84,7 @@
 			return;
 		}
 
-		if (server.health === 'doubted' && !attempt.isExperiment) {
+		if (server.health === 'doubted' && !attempt.isTrial) {
 			return;
 		}
 
@@ -113,14 +113,14 @@
 		const service = attempt.call.serviceState;
 		const others = service.servers.filter(one => one !== server && one.takesNewAttempts);
 		const outCount = others.filter(one => one.health === 'ejected' || one.health === 'probing').length;
-		const maxOut = Math.max(1, Math.floor(this._context.tuning.ejectablePart * (others.length + 1)));
-		return others.length > 0 && outCount < maxOut && service.failing < this._context.tuning.commonFailurePart;
+		const maxOut = Math.max(1, Math.floor(this._context.tuning.maxEjectedFraction * (others.length + 1)));
+		return others.length > 0 && outCount < maxOut && service.failureRate < this._context.tuning.commonFailureFraction;
 	}
 
 	private _reportCrashSuspect(attempt: Attempt, now: Instant): void {
 		const crash = CrashSuspects.crashIdentity(attempt.server.identity, attempt.instance);
 		const {fingerprint} = attempt.call.request;
-		if (this._context.suspects.accuse(crash, [fingerprint], now)) {
+		if (this._context.suspects.addSuspects(crash, [fingerprint], now)) {
 			this._context.effects.push({
 				type: 'tell-peers',
 				update: {
--- a/src/common/calls/placer.ts
+++ b/src/common/calls/placer.ts
@@ -1,4 +1,4 @@
-/** Chooses the backend server for an attempt where measuring is paced, and checks the limits that all placement obeys. */
+/** Chooses the backend server for an attempt where probing is paced, and checks the limits that all placement obeys. */
 import {type BackendServer} from '../model/resources.ts';
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type BackendServerState} from './backend-server-state.ts';
@@ -11,7 +11,7 @@
 export type Placement = {
 	readonly server: BackendServerState;
 	/** It is the single trial call of a backend server in doubt. */
-	readonly isExperiment: boolean;
+	readonly isTrial: boolean;
 };
 
 /** Placement policy. */
@@ -39,22 +39,22 @@
  * round down to none.
  */
 export function connectionLimit(context: EngineContext, server: BackendServer): number {
-	return Math.max(1, Math.floor((context.shares?.connectionPart ?? 0) * server.connectionLimit));
+	return Math.max(1, Math.floor((context.shares?.connectionFraction ?? 0) * server.connectionLimit));
 }
 
 /** Whether the warm-up rate or the rate limit of a backend server currently forbids another attempt of this VM. */
-export function isSpared(context: EngineContext, server: BackendServerState, call: Call, now: Instant): boolean {
-	return isSparedForWarmUp(context, server, call, now) || isRateLimited(context, server, now);
+export function isThrottled(context: EngineContext, server: BackendServerState, call: Call, now: Instant): boolean {
+	return isThrottledByWarmUp(context, server, call, now) || isRateLimited(context, server, now);
 }
 
 /** This VM's share of the rate limit that a backend server has announced; undefined = none announced. */
-export function shareOfLimit({rateLimit, identity, declared: {dataCentre}}: BackendServerState, context: EngineContext, now: Instant): RateShare | undefined {
-	return rateLimit.callsPerSecond === undefined ? undefined : context.rateQuota.shareOfLimit({identity, dataCentre}, rateLimit.callsPerSecond, now);
+export function rateLimitShare({rateLimit, identity, declared: {dataCentre}}: BackendServerState, context: EngineContext, now: Instant): RateShare | undefined {
+	return rateLimit.callsPerSecond === undefined ? undefined : context.rateQuota.limitShareOf({identity, dataCentre}, rateLimit.callsPerSecond, now);
 }
 
 /** Whether this VM's share of the backend server's rate limit is spent for now. */
 export function isRateLimited(context: EngineContext, server: BackendServerState, now: Instant): boolean {
-	const share = shareOfLimit(server, context, now);
+	const share = rateLimitShare(server, context, now);
 	return share !== undefined && server.rateLimit.isSpent(share, now);
 }
 
@@ -62,10 +62,10 @@
  * Earliest time at which rate limits allow an attempt of this VM on one of the service's backend servers: now if one of
  * them has no rate limit or an unspent share.
  */
-export function whenLimitsAllow(context: EngineContext, service: ServiceState, now: Instant): Instant {
+export function nextAllowedAt(context: EngineContext, service: ServiceState, now: Instant): Instant {
 	let earliest = Infinity;
 	for (const server of service.servers) {
-		const share = server.takesNewAttempts ? shareOfLimit(server, context, now) : undefined;
+		const share = server.takesNewAttempts ? rateLimitShare(server, context, now) : undefined;
 		if (server.takesNewAttempts && share === undefined) {
 			return now;
 		}
@@ -81,7 +81,7 @@
  * Without this limit every VM would send its calls to a cold backend server that looks idle, which crashes under more
  * calls per second than its service declares.
  */
-export function isSparedForWarmUp(context: EngineContext, server: BackendServerState, call: Call, now: Instant): boolean {
+export function isThrottledByWarmUp(context: EngineContext, server: BackendServerState, call: Call, now: Instant): boolean {
 	const {warmUp} = call.serviceState;
 	if (warmUp === undefined || !server.warmUp.isUnderWay(now)) {
 		return false;
@@ -107,11 +107,11 @@
 	place(call: Call, now: Instant): Placement | undefined {
 		const trialServer = this._trialServer(call, now);
 		if (trialServer !== undefined) {
-			return {server: trialServer, isExperiment: true};
+			return {server: trialServer, isTrial: true};
 		}
 
 		const server = this._cheapest(call, now, true) ?? this._cheapest(call, now, false);
-		return server === undefined ? undefined : {server, isExperiment: false};
+		return server === undefined ? undefined : {server, isTrial: false};
 	}
 
 	/**
@@ -127,7 +127,7 @@
 		const isSafeToRepeat = call.isIdempotent && isBodiless(call.request) && call.request.mayRetry;
 		for (const server of call.serviceState.servers) {
 			const health = server.healthAt(now);
-			const isInDoubt = (health === 'doubted' || health === 'probing') && server.attempts.size === 0 && server.takesNewAttempts && !isSpared(this._context, server, call, now);
+			const isInDoubt = (health === 'doubted' || health === 'probing') && server.attempts.size === 0 && server.takesNewAttempts && !isThrottled(this._context, server, call, now);
 			if (isInDoubt && (isSafeToRepeat || server.healthAge(now) >= maxDoubtMilliseconds)) {
 				return server;
 			}
@@ -175,11 +175,11 @@
 	}
 
 	private _isEligible(server: BackendServerState, call: Call, now: Instant, requiresHealthy: boolean): boolean {
-		if (isSpared(this._context, server, call, now)) {
+		if (isThrottled(this._context, server, call, now)) {
 			return false;
 		}
 
-		if (!server.takesNewAttempts || call.failedOn.has(server) || server.attempts.size >= connectionLimit(this._context, server.declared)) {
+		if (!server.takesNewAttempts || call.failedServers.has(server) || server.attempts.size >= connectionLimit(this._context, server.declared)) {
 			return false;
 		}
 
@@ -197,7 +197,7 @@
 		const slots = server.slotsAt(now);
 		const excess = load + 1 - slots;
 		const wait = waitSmoothingCalls * Math.log1p(Math.exp(Math.min(50, excess / waitSmoothingCalls))) * call.serviceState.classes.all.holdMean / slots;
-		const failureFactor = 1 + (this._context.tuning.failurePenalty * server.failingAt(now));
+		const failureFactor = 1 + (this._context.tuning.failurePenalty * server.failureRateAt(now));
 		return ((Math.max(minAnswerMilliseconds, call.class.answerMean) + wait) * server.slownessAt(now)) * failureFactor;
 	}
 
@@ -210,7 +210,7 @@
 		const {overflowAt} = call.serviceState.sharing;
 		const excessLoad = (call.serviceState.localLoad - overflowAt) / Math.max(0.01, 1 - overflowAt);
 		const penaltyFactor = 1 - Math.min(1, Math.max(0, excessLoad));
-		const {remoteMilliseconds, remoteReluctance} = this._context.tuning;
-		return remoteMilliseconds + (penaltyFactor * remoteReluctance * call.class.answerMean);
+		const {remoteRoundTripMilliseconds, remotePenaltyFraction} = this._context.tuning;
+		return remoteRoundTripMilliseconds + (penaltyFactor * remotePenaltyFraction * call.class.answerMean);
 	}
 }
--- a/src/common/calls/process-history.ts
+++ b/src/common/calls/process-history.ts
@@ -22,12 +22,12 @@
 	private _leavingSince: Instant | undefined;
 
 	/** Instance of the process that answered last; undefined before any report with an instance. */
-	get present(): string | undefined {
+	get currentInstance(): string | undefined {
 		return this._currentInstance;
 	}
 
 	/** Applies a leaving sign. Returns false if it concerns a process that has ended and is ignored; `instance` undefined = the current process. */
-	takeSign(instance: string | undefined, now: Instant): boolean {
+	applyLeavingSign(instance: string | undefined, now: Instant): boolean {
 		if (instance !== undefined && this._goneInstances.includes(instance)) {
 			return false;
 		}
@@ -38,7 +38,7 @@
 	}
 
 	/** Classifies a report by the process that made it. */
-	takeReport(instance: string | undefined, madeAt: Instant): ProcessChange {
+	applyReport(instance: string | undefined, madeAt: Instant): ProcessChange {
 		if (instance !== undefined && this._goneInstances.includes(instance)) {
 			return 'of-past';
 		}
--- a/src/common/calls/rate-limit.test.ts
+++ b/src/common/calls/rate-limit.test.ts
@@ -3,13 +3,13 @@
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {seededRandom} from '../random/random.ts';
 import {
-	answerMeasures, configurationOf, EngineDriver, linesOf, measuresOf, reportOf, requestOf, type Start, startIn,
+	answerLoadProbes, configurationOf, EngineDriver, linesOf, loadProbesIn, reportOf, requestOf, type Start, startIn,
 } from './engine-driver.test.ts';
 import {type CallEffect, type CallEvent, type RateLimitNotice} from './types.ts';
 import {OwnerRateQuota} from './rate-quota.ts';
 
 const rule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 400, mostAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 400, maxAttempts: 3, priority: 0,
 };
 
 function readOf(callId: number): CallEvent {
@@ -63,7 +63,7 @@
 			const driver = new EngineDriver(declared, {}, (scenario.seed * 1000) + index, {}, new OwnerRateQuota(testHash));
 			driver.handle({
 				type: 'shares', shares: {
-					measuringPart: 0, measuringFrom: 0, measuringUntil: 0, connectionPart: 0.5, vmCount: names.length, members: {own, byDataCentre: new Map([['north', names]])},
+					loadProbeFraction: 0, loadProbesFrom: 0, loadProbesUntil: 0, connectionFraction: 0.5, vmCount: names.length, members: {own, byDataCentre: new Map([['north', names]])},
 				},
 			});
 			return driver;
@@ -140,9 +140,9 @@
 			}
 		}
 
-		const measures = measuresOf(effects);
+		const measures = loadProbesIn(effects);
 		if (measures.length > 0) {
-			this._apply(vm, answerMeasures(driver, measures, identity => this._report(identity, driver.now, true)));
+			this._apply(vm, answerLoadProbes(driver, measures, identity => this._report(identity, driver.now, true)));
 		}
 	}
 }
@@ -181,9 +181,9 @@
 			}
 		}
 
-		const measures = measuresOf(effects);
+		const measures = loadProbesIn(effects);
 		if (measures.length > 0) {
-			apply(answerMeasures(driver, measures, () => reportOf('p', {workTimeFactor: 1, warmUpLeftMilliseconds: 0})));
+			apply(answerLoadProbes(driver, measures, () => reportOf('p', {workTimeFactor: 1, warmUpLeftMilliseconds: 0})));
 		}
 	};
 
@@ -198,7 +198,7 @@
 /** A call arrives and its load probes are answered; returns the attempt that it starts. */
 function begin(driver: EngineDriver, callId: number): Start {
 	const effects = driver.handle(readOf(callId));
-	return startIn([...effects, ...answerMeasures(driver, measuresOf(effects), () => reportOf('p', {workTimeFactor: 1}))])!;
+	return startIn([...effects, ...answerLoadProbes(driver, loadProbesIn(effects), () => reportOf('p', {workTimeFactor: 1}))])!;
 }
 
 const firstServerAnnounces = (rateLimit: RateLimitNotice) => (identity: string) => identity === 'identity-0' ? {rateLimit} : {};
--- a/src/common/calls/rate-limit.ts
+++ b/src/common/calls/rate-limit.ts
@@ -39,7 +39,7 @@
 	}
 
 	/** Whether load probes show when the limit ends. */
-	get isNamedByProbes(): boolean {
+	get isAnnouncedByProbes(): boolean {
 		return this._isAnnouncedByProbes;
 	}
 
@@ -47,12 +47,12 @@
 	 * Applies the answer to an attempt. One without a limit is ignored if the attempt started before the limit was
 	 * announced, since the answer may be older than the announcement.
 	 */
-	noteAnswer(notice: RateLimitNotice | undefined, startedAt: Instant, now: Instant): RateLimitChange {
+	applyAnswer(notice: RateLimitNotice | undefined, startedAt: Instant, now: Instant): RateLimitChange {
 		return notice === undefined && startedAt <= this._announcedAt ? 'none' : this._apply(notice, now);
 	}
 
 	/** Applies the response to a load probe. */
-	noteProbe(notice: RateLimitNotice | undefined, now: Instant): RateLimitChange {
+	applyProbe(notice: RateLimitNotice | undefined, now: Instant): RateLimitChange {
 		if (notice === undefined && !this._isAnnouncedByProbes) {
 			return 'none';
 		}
@@ -103,10 +103,10 @@
 		return previous === notice ? 'none' : 'changed';
 	}
 
-	private _refill({callsPerSecond, firstTokens}: RateShare, now: Instant): number {
+	private _refill({callsPerSecond, initialTokens}: RateShare, now: Instant): number {
 		const capacity = Math.max(tokensPerAttempt, maxSavedSeconds * callsPerSecond);
 		const saved = this._tokens === undefined
-			? firstTokens
+			? initialTokens
 			: this._tokens + (callsPerSecond * (now - this._refilledAt) / millisecondsPerSecond);
 		this._tokens = Math.min(capacity, saved);
 		this._refilledAt = now;
--- a/src/common/calls/rate-quota.test.ts
+++ b/src/common/calls/rate-quota.test.ts
@@ -91,8 +91,8 @@
 function maxInSpan(vmCount: number, limit: number, hasEntryOf: (index: number, random: RandomSource) => boolean): number {
 	const quotas = quotasOf(vmCount, hasEntryOf);
 	const spans = Array.from({length: 20}, (_, index) => {
-		const shares = quotas.map(quota => quota.shareOfLimit({identity: `i-${index}`, dataCentre: dataCentres[index % 3]!}, limit, settledAt));
-		return shares.reduce((sum, {callsPerSecond, firstTokens}) => sum + Math.floor(firstTokens + (4 * callsPerSecond)), 0);
+		const shares = quotas.map(quota => quota.limitShareOf({identity: `i-${index}`, dataCentre: dataCentres[index % 3]!}, limit, settledAt));
+		return shares.reduce((sum, {callsPerSecond, initialTokens}) => sum + Math.floor(initialTokens + (4 * callsPerSecond)), 0);
 	});
 	return Math.max(...spans);
 }
@@ -107,7 +107,7 @@
 
 			// Guards against unusable shares: less than one attempt within the span for each of many VMs.
 			it(`add up to the whole limit of ${limit} calls per second with ${vmCount} VMs`, () => {
-				const shares = quotasOf(vmCount, () => true).map(quota => quota.shareOfLimit({identity: 'i-1', dataCentre: 'north'}, limit, settledAt).callsPerSecond);
+				const shares = quotasOf(vmCount, () => true).map(quota => quota.limitShareOf({identity: 'i-1', dataCentre: 'north'}, limit, settledAt).callsPerSecond);
 				expect(Math.abs(shares.reduce((sum, share) => sum + share, 0) - limit)).toBeLessThan(0.001);
 			});
 		}
@@ -125,6 +125,6 @@
 	it('are zero for a VM that has just received its member list', () => {
 		const quota = new OwnerRateQuota(testHash);
 		quota.setMembers(membersOf('10.0.0.0:80', fleetOf(1)), 0);
-		expect(quota.shareOfLimit({identity: 'i-1', dataCentre: 'north'}, 10, 100)).toEqual({callsPerSecond: 0, firstTokens: 0});
+		expect(quota.limitShareOf({identity: 'i-1', dataCentre: 'north'}, 10, 100)).toEqual({callsPerSecond: 0, initialTokens: 0});
 	});
 });
--- a/src/common/calls/rate-quota.ts
+++ b/src/common/calls/rate-quota.ts
@@ -44,7 +44,7 @@
 	 * Attempts that it may start at once when the limit is first announced to it. Below 1, the first attempt waits until a
 	 * whole token has accumulated.
 	 */
-	readonly firstTokens: number;
+	readonly initialTokens: number;
 };
 
 /** The backend server whose rate is divided. */
@@ -62,11 +62,11 @@
 	/**
 	 * This VM's share of a limit that the backend server has announced. `rate` = calls per second from all VMs together.
 	 */
-	shareOfLimit(server: SharedServer, rate: number, now: Instant): RateShare;
+	limitShareOf(server: SharedServer, rate: number, now: Instant): RateShare;
 };
 
 /** For a VM that shares its backend servers with no other. */
-export class WholeRateQuota implements RateQuota {
+export class SingleVmRateQuota implements RateQuota {
 	setMembers(): void {
 		// There are no others.
 	}
@@ -75,8 +75,8 @@
 		return rate;
 	}
 
-	shareOfLimit(_server: SharedServer, rate: number): RateShare {
-		return {callsPerSecond: rate, firstTokens: 1};
+	limitShareOf(_server: SharedServer, rate: number): RateShare {
+		return {callsPerSecond: rate, initialTokens: 1};
 	}
 }
 
@@ -115,9 +115,9 @@
 		return share;
 	}
 
-	shareOfLimit(server: SharedServer, rate: number, now: Instant): RateShare {
+	limitShareOf(server: SharedServer, rate: number, now: Instant): RateShare {
 		if (this._members === undefined || now - this._membersSince! < settlingMilliseconds) {
-			return {callsPerSecond: 0, firstTokens: 0};
+			return {callsPerSecond: 0, initialTokens: 0};
 		}
 
 		const key = `${server.identity} ${rate}`;
@@ -134,10 +134,10 @@
 		const owners = chooseByRank(localVms.length >= count ? localVms : all, count, vm => this._hash(`${vm} ${identity}`));
 		const nonOwners = all.length - owners.length;
 		if (owners.includes(own)) {
-			return {callsPerSecond: (nonOwners > 0 ? 1 - nonOwnerFraction : 1) * rate / owners.length, firstTokens: 1};
+			return {callsPerSecond: (nonOwners > 0 ? 1 - nonOwnerFraction : 1) * rate / owners.length, initialTokens: 1};
 		}
 
-		return {callsPerSecond: nonOwnerFraction * rate / Math.max(1, nonOwners), firstTokens: hashFraction(this._hash(`${identity} ${own}`))};
+		return {callsPerSecond: nonOwnerFraction * rate / Math.max(1, nonOwners), initialTokens: hashFraction(this._hash(`${identity} ${own}`))};
 	}
 
 	private _warmUpShare({identity, dataCentre}: SharedServer, rate: number, {own, byDataCentre}: FleetMembers): number {
--- a/src/common/calls/retry-budget.test.ts
+++ b/src/common/calls/retry-budget.test.ts
@@ -4,7 +4,7 @@
 /** Number of retries that one of `vmCount` VMs may start at once when a fault begins after 1000 calls without failures. */
 function countBurstAttempts(burst: number, vmCount: number): number {
 	const budget = new RetryBudget();
-	budget.shareBurst(burst, vmCount);
+	budget.setBurstShare(burst, vmCount);
 	for (let call = 0; call < 1000; call++) {
 		budget.deposit(0.2);
 	}
--- a/src/common/calls/retry-budget.ts
+++ b/src/common/calls/retry-budget.ts
@@ -20,7 +20,7 @@
 	private _maxTokens = defaultMaxTokens;
 
 	/** Sets the token limit to this VM's part of `burst`, the retries and hedges that all VMs may start at once beyond their share; at least one token. */
-	shareBurst(burst: number, vmCount: number): void {
+	setBurstShare(burst: number, vmCount: number): void {
 		this._maxTokens = Math.max(initialTokens, burstFraction * burst / Math.max(1, vmCount));
 		this._tokens = Math.min(this._maxTokens, this._tokens);
 	}
@@ -31,7 +31,7 @@
 	}
 
 	/** True while a retry or hedge is allowed. */
-	get isOpen(): boolean {
+	get hasToken(): boolean {
 		return this._tokens >= 1;
 	}
 
--- a/src/common/calls/retrying-callers.ts
+++ b/src/common/calls/retrying-callers.ts
@@ -30,7 +30,7 @@
 	private readonly _timeoutsByRule = new Map<string, Milliseconds[]>();
 
 	/** Estimated milliseconds that a caller with this remaining timeout has spent on earlier tries; 0 if it does not look like a retry. */
-	spentOf(timeout: Milliseconds | undefined, rule: CallRule | undefined): Milliseconds {
+	timeSpentBefore(timeout: Milliseconds | undefined, rule: CallRule | undefined): Milliseconds {
 		if (timeout === undefined || rule === undefined) {
 			return 0;
 		}
--- a/src/common/calls/service-directory.test.ts
+++ b/src/common/calls/service-directory.test.ts
@@ -5,15 +5,15 @@
 import {ServiceDirectory} from './service-directory.ts';
 import {TimerQueue} from './timer-queue.ts';
 import {defaultTuning} from './tuning.ts';
-import {WholeRateQuota} from './rate-quota.ts';
+import {SingleVmRateQuota} from './rate-quota.ts';
 
 describe('ServiceDirectory', () => {
 	// Guards against a sharing rule that stays in force after an operator has deleted it.
 	it('applies the default when a sharing rule is deleted', () => {
 		const directory = new ServiceDirectory({
 			random: seededRandom(1), tuning: defaultTuning, settings: {dataCentre: 'north'}, timers: new TimerQueue(),
-			suspects: new CrashSuspects(1000), freed: new Set(), replaced: [], shares: undefined,
-			isPlacingHeld: false, rateQuota: new WholeRateQuota(), effects: [],
+			suspects: new CrashSuspects(1000), servicesToDrain: new Set(), replacedServers: [], shares: undefined,
+			isPlacingHeld: false, rateQuota: new SingleVmRateQuota(), effects: [],
 		});
 		const services = new Map([['dues', serviceSchema.parse({kind: 'service', name: 'dues'})]]);
 		const rule = sharingRuleSchema.parse({
--- a/src/common/calls/service-directory.ts
+++ b/src/common/calls/service-directory.ts
@@ -3,12 +3,12 @@
 import {BackendServerState} from './backend-server-state.ts';
 import {CrashSuspects} from './crash-suspects.ts';
 import {type EngineContext, vmCountOf} from './engine-context.ts';
-import {MeasuringSchedule, measuringTimeout} from './measuring-schedule.ts';
+import {LoadProbeSchedule, loadProbeTimeoutMilliseconds} from './load-probe-schedule.ts';
 import {type RateLimitChange} from './rate-limit.ts';
 import {defaultSharing, ServiceState} from './service-state.ts';
 import {TimerQueue} from './timer-queue.ts';
 import {
-	type BackendServerIdentity, type BackendServerInForce, type BackendServerStatus, type CallConfiguration, type FleetShares, type LoadUpdate, type LoadReport, type MeasurementId, type RateLimitNotice,
+	type BackendServerIdentity, type BackendServerInForce, type BackendServerStatus, type CallConfiguration, type FleetShares, type LoadUpdate, type LoadReport, type LoadProbeId, type RateLimitNotice,
 } from './types.ts';
 
 /** Check interval while no load probe can be scheduled, because the VM holds no share of the budget or the service is unknown. */
@@ -28,7 +28,7 @@
 	private readonly _context: EngineContext;
 	private readonly _services = new Map<string, ServiceState>();
 	private readonly _servers = new Map<BackendServerIdentity, BackendServerState>();
-	private readonly _pendingLoadProbes = new Map<MeasurementId, BackendServerState>();
+	private readonly _pendingLoadProbes = new Map<LoadProbeId, BackendServerState>();
 	private readonly _loadProbeChecks = new TimerQueue<BackendServerState>();
 	private _version: number | undefined;
 	private _nextLoadProbeId = 1;
@@ -43,7 +43,7 @@
 	}
 
 	/** Earliest time at which a backend server must be checked for a due load probe; undefined = none is scheduled. */
-	get nextLook(): Instant | undefined {
+	get nextLoadProbeCheckAt(): Instant | undefined {
 		return this._loadProbeChecks.earliest;
 	}
 
@@ -68,7 +68,7 @@
 		const rules = new Map(configuration.sharingRules.map(rule => [rule.service, rule]));
 		for (const [name, declared] of configuration.services) {
 			const service = this._services.get(name) ?? new ServiceState(declared, this._context.tuning);
-			service.redeclare(declared);
+			service.updateDeclaration(declared);
 			// A deleted rule no longer applies.
 			service.sharing = rules.get(name) ?? defaultSharing;
 			service.warmUp = configuration.warmUpLimits?.get(name);
@@ -76,7 +76,7 @@
 			this._setRetryBurstShare(service);
 			this._services.set(name, service);
 			if (!service.hasUsableServer) {
-				this._context.freed.add(service);
+				this._context.servicesToDrain.add(service);
 			}
 		}
 
@@ -99,11 +99,11 @@
 		}
 	}
 
-	takeLeaving(identity: BackendServerIdentity, instance: string | undefined, now: Instant): void {
-		this._servers.get(identity)?.takeLeaving(instance, now);
+	applyLeavingSign(identity: BackendServerIdentity, instance: string | undefined, now: Instant): void {
+		this._servers.get(identity)?.applyLeavingSign(instance, now);
 	}
 
-	takeUpdates(updates: readonly LoadUpdate[], now: Instant): void {
+	applyPeerUpdates(updates: readonly LoadUpdate[], now: Instant): void {
 		for (const update of updates) {
 			const server = this._servers.get(update.identity);
 			if (server !== undefined && update.report !== undefined) {
@@ -111,50 +111,50 @@
 			}
 
 			if (update.crash !== undefined) {
-				this._context.suspects.accuse(update.crash, update.suspects, now);
+				this._context.suspects.addSuspects(update.crash, update.suspects, now);
 			}
 		}
 	}
 
 	/** Applies a load report that arrived with an answer. */
-	takeAnswerReport(server: BackendServerState, report: LoadReport, now: Instant): void {
+	applyAnswerReport(server: BackendServerState, report: LoadReport, now: Instant): void {
 		this._applyReport(server, report, now, now);
-		const others = server.reportedOthers;
+		const others = server.reportedOtherCalls;
 		if (others !== undefined) {
-			this._services.get(server.declared.service)?.noteOthers(others);
+			this._services.get(server.declared.service)?.recordCallsOfOtherVms(others);
 		}
 	}
 
 	/** Applies the rate limit in the answer to an attempt, or its absence. */
-	takeAnswerLimit(server: BackendServerState, rateLimit: RateLimitNotice | undefined, startedAt: Instant, now: Instant): void {
-		this._notifyRateLimitChange(server, server.rateLimit.noteAnswer(rateLimit, startedAt, now), 'answer', rateLimit);
+	applyAnswerRateLimit(server: BackendServerState, rateLimit: RateLimitNotice | undefined, startedAt: Instant, now: Instant): void {
+		this._notifyRateLimitChange(server, server.rateLimit.applyAnswer(rateLimit, startedAt, now), 'answer', rateLimit);
 	}
 
 	/** Handles the result of a load probe; `report` is undefined without an answer. Returns the probed backend server, or undefined for an unknown id. */
-	takeMeasurement(measurementId: MeasurementId, report: LoadReport | undefined, now: Instant): BackendServerState | undefined {
-		const server = this._pendingLoadProbes.get(measurementId);
-		this._pendingLoadProbes.delete(measurementId);
+	onLoadProbeEnded(loadProbeId: LoadProbeId, report: LoadReport | undefined, now: Instant): BackendServerState | undefined {
+		const server = this._pendingLoadProbes.get(loadProbeId);
+		this._pendingLoadProbes.delete(loadProbeId);
 		if (server === undefined) {
 			return undefined;
 		}
 
 		if (report === undefined) {
-			server.unansweredMeasurings++;
+			server.unansweredProbes++;
 			return server;
 		}
 
-		server.unansweredMeasurings = 0;
-		this.takeAnswerReport(server, report, now);
-		this._notifyRateLimitChange(server, server.rateLimit.noteProbe(report.rateLimit, now), 'load-probe', report.rateLimit);
+		server.unansweredProbes = 0;
+		this.applyAnswerReport(server, report, now);
+		this._notifyRateLimitChange(server, server.rateLimit.applyProbe(report.rateLimit, now), 'load-probe', report.rateLimit);
 		if (server.health === 'doubted') {
-			server.move('ANSWERED', now);
+			server.applyHealthEvent('ANSWERED', now);
 		}
 
 		return server;
 	}
 
 	/** Sends a load probe at once. */
-	measureNow(server: BackendServerState): void {
+	startLoadProbe(server: BackendServerState): void {
 		this._startLoadProbe(server);
 	}
 
@@ -162,7 +162,7 @@
 	 * Records the arrival of a call. The first call after an idle period restores the normal rate of load probes, with a
 	 * random phase for each backend server: a rush of calls reaches all VMs at once, and their probes must not coincide.
 	 */
-	noteCall(service: ServiceState, now: Instant): void {
+	recordCall(service: ServiceState, now: Instant): void {
 		const wasIdle = now - service.lastCallAt > idleAfterMilliseconds;
 		service.lastCallAt = now;
 		if (!wasIdle || service.isMeasuredOnDemand) {
@@ -170,13 +170,13 @@
 		}
 
 		for (const server of service.servers) {
-			server.schedule.start(now, this._context.random.next());
+			server.loadProbeSchedule.start(now, this._context.random.next());
 			this._scheduleLoadProbeCheck(server, now);
 		}
 	}
 
 	/** Sends the load probes that are due, within the budget. */
-	measure(now: Instant): void {
+	startDueLoadProbes(now: Instant): void {
 		for (let server = this._loadProbeChecks.takeDue(now); server !== undefined; server = this._loadProbeChecks.takeDue(now)) {
 			if (this._servers.get(server.identity) === server) {
 				this._checkLoadProbe(server, now);
@@ -206,7 +206,7 @@
 	private _setRetryBurstShare(service: ServiceState): void {
 		const {retryBurst} = this._context.settings;
 		if (retryBurst !== undefined) {
-			service.retryBudget.shareBurst(retryBurst, vmCountOf(this._context));
+			service.retryBudget.setBurstShare(retryBurst, vmCountOf(this._context));
 		}
 	}
 
@@ -261,7 +261,7 @@
 	private _add(identity: BackendServerIdentity, declared: BackendServerInForce, now: Instant, isWarm: boolean): void {
 		const server = new BackendServerState(identity, declared, this._context.tuning, now, isWarm);
 		this._servers.set(identity, server);
-		server.schedule.start(now, this._context.random.next());
+		server.loadProbeSchedule.start(now, this._context.random.next());
 		this._scheduleLoadProbeCheck(server, now);
 	}
 
@@ -271,30 +271,30 @@
 	 * the old process would be applied to the new one. Open attempts and load probes keep the old record until they end.
 	 */
 	private _replaceProcess(previous: BackendServerState, declared: BackendServerInForce, now: Instant): void {
-		this._context.suspects.confirm(CrashSuspects.crashIdentity(previous.identity, previous.process), now);
-		if (previous.look !== undefined) {
-			this._loadProbeChecks.remove(previous.look);
+		this._context.suspects.confirmCrash(CrashSuspects.crashIdentity(previous.identity, previous.processIdentity), now);
+		if (previous.loadProbeTimer !== undefined) {
+			this._loadProbeChecks.remove(previous.loadProbeTimer);
 		}
 
 		this._add(previous.identity, declared, now, false);
-		this._context.replaced.push(previous);
+		this._context.replacedServers.push(previous);
 	}
 
 	private _applyReport(server: BackendServerState, report: LoadReport, madeAt: Instant, now: Instant): void {
 		const previous = server.report;
 		const gap = madeAt - server.reportedAt;
-		const effect = server.takeReport(report, madeAt, now);
-		if (effect.isTaken) {
+		const effect = server.applyReport(report, madeAt, now);
+		if (effect.isAccepted) {
 			this._services.get(server.declared.service)?.answerTimes.addReport(report.workTimeFactor, previous?.workTimeFactor, gap);
 			this._services.get(server.declared.service)?.headroom.add(report);
 		}
 
-		if (effect.goneInstance !== undefined) {
-			this._context.suspects.confirm(CrashSuspects.crashIdentity(server.identity, effect.goneInstance), now);
+		if (effect.replacedInstance !== undefined) {
+			this._context.suspects.confirmCrash(CrashSuspects.crashIdentity(server.identity, effect.replacedInstance), now);
 		}
 
 		// A new process is also sent to the peers, so that they drop the leaving sign of the previous process.
-		if (effect.beganToLeave || effect.goneInstance !== undefined) {
+		if (effect.beganToLeave || effect.replacedInstance !== undefined) {
 			this._sendToPeers(server, report);
 		}
 	}
@@ -311,50 +311,50 @@
 	private _checkLoadProbe(server: BackendServerState, now: Instant): void {
 		const service = this._services.get(server.declared.service);
 		if (service?.isMeasuredOnDemand === true) {
-			server.look = undefined;
+			server.loadProbeTimer = undefined;
 			return;
 		}
 
 		const {shares} = this._context;
 		const isIdle = service === undefined || now - service.lastCallAt > idleAfterMilliseconds;
 		const need = {at: server.reportedAt, isIdle};
-		const dueAt = service === undefined ? undefined : server.schedule.dueAt(service.declared.measuring, shares, need, now);
+		const dueAt = service === undefined ? undefined : server.loadProbeSchedule.dueAt(service.declared.measuring, shares, need, now);
 		if (service === undefined || dueAt === undefined) {
 			this._scheduleLoadProbeCheck(server, now + checkIntervalMilliseconds);
 			return;
 		}
 
-		if (dueAt <= now && server.schedule.trySpend(service.declared.measuring, shares, now)) {
+		if (dueAt <= now && server.loadProbeSchedule.trySpend(service.declared.measuring, shares, now)) {
 			this._startLoadProbe(server);
 		}
 
-		const next = server.schedule.dueAt(service.declared.measuring, shares, {...need, at: server.reportedAt}, now) ?? now + checkIntervalMilliseconds;
+		const next = server.loadProbeSchedule.dueAt(service.declared.measuring, shares, {...need, at: server.reportedAt}, now) ?? now + checkIntervalMilliseconds;
 		this._scheduleLoadProbeCheck(server, Math.max(next, now + 1));
 	}
 
 	/** Schedules the next check of a backend server, replacing the one that was scheduled before. */
 	private _scheduleLoadProbeCheck(server: BackendServerState, at: Instant): void {
-		if (server.look !== undefined) {
-			this._loadProbeChecks.remove(server.look);
+		if (server.loadProbeTimer !== undefined) {
+			this._loadProbeChecks.remove(server.loadProbeTimer);
 		}
 
-		server.look = this._loadProbeChecks.add(at, server);
+		server.loadProbeTimer = this._loadProbeChecks.add(at, server);
 	}
 
 	private _startLoadProbe(server: BackendServerState): void {
-		const measurementId = this._nextLoadProbeId++;
+		const loadProbeId = this._nextLoadProbeId++;
 		const measuring = this._services.get(server.declared.service)?.declared.measuring;
-		this._pendingLoadProbes.set(measurementId, server);
+		this._pendingLoadProbes.set(loadProbeId, server);
 		this._context.effects.push({
 			type: 'measure',
 			service: server.declared.service,
 			path: measuring?.path ?? '/load',
-			measurementId,
+			loadProbeId,
 			identity: server.identity,
 			address: server.declared.address,
 			port: server.declared.port,
 			processStartedAt: server.declared.processStartedAt,
-			timeoutMilliseconds: measuring?.mode === 'on-demand' ? onDemandProbeTimeoutMilliseconds : measuringTimeout,
+			timeoutMilliseconds: measuring?.mode === 'on-demand' ? onDemandProbeTimeoutMilliseconds : loadProbeTimeoutMilliseconds,
 		});
 	}
 
@@ -368,8 +368,8 @@
 			inFlight: server.attempts.size,
 			reportedInFlight: server.report?.inFlight,
 			reportAgeMilliseconds: server.report === undefined ? undefined : now - server.reportedAt,
-			measuringSpent: budget === undefined ? 0 : server.schedule.spent(budget, now),
-			measuringAllowed: budget === undefined ? 0 : MeasuringSchedule.allowed(budget, this._context.shares, now),
+			measuringSpent: budget === undefined ? 0 : server.loadProbeSchedule.spent(budget, now),
+			measuringAllowed: budget === undefined ? 0 : LoadProbeSchedule.allowed(budget, this._context.shares, now),
 		};
 	}
 }
@@ -383,14 +383,14 @@
 function updateDeclaration(server: BackendServerState, declared: BackendServerInForce, now: Instant): void {
 	const hasReturned = server.declared.isLeaving && !declared.isLeaving;
 	if (declared.warmUntil !== undefined && declared.warmUntil !== server.declared.warmUntil) {
-		server.warmUp.noteEntry(declared.warmUntil);
+		server.warmUp.applyEntry(declared.warmUntil);
 	}
 
 	server.declared = declared;
 	if (declared.isLeaving) {
-		server.move('LEAVE', now);
+		server.applyHealthEvent('LEAVE', now);
 	} else if (hasReturned) {
-		server.move('RETURN', now);
+		server.applyHealthEvent('RETURN', now);
 	}
 }
 
--- a/src/common/calls/service-state.ts
+++ b/src/common/calls/service-state.ts
@@ -53,16 +53,16 @@
 	/** Model of its answer times, learnt from answers and reports; used only with on-demand load probes. */
 	readonly answerTimes = new AnswerTimeModel();
 	readonly headroom = new Headroom();
-	readonly returning = new RetryingCallers();
+	readonly retryingCallers = new RetryingCallers();
 	readonly retryBudget = new RetryBudget();
 	readonly limit: ConcurrencyLimit;
 	readonly queue: CallQueue;
 	/** Attempts in flight. */
 	inFlight = 0;
 	/** Time since which the queue has not been empty; undefined while it is empty. */
-	standingSince: Instant | undefined;
+	queueNonEmptySince: Instant | undefined;
 	/** True while a timer for the next check of the queue is pending. */
-	isLookPlanned = false;
+	isQueueCheckScheduled = false;
 	/** Estimated fraction of the slots in the own data centre that are in use; controls the overflow to other data centres. */
 	localLoad = 0;
 	private _serversByDataCentre = new Map<string, BackendServerState[]>();
@@ -76,9 +76,9 @@
 	constructor(declared: Service, tuning: CallTuning) {
 		this.declared = declared;
 		this._tuning = tuning;
-		this.classes = new CallClasses(initialAnswerTimeMilliseconds, tuning.callClasses);
+		this.classes = new CallClasses(initialAnswerTimeMilliseconds, tuning.maxCallClasses);
 		this.limit = new AdaptiveConcurrencyLimit(this._targetQueuedPerSlot());
-		this.queue = tuning.isFair ? new FairCallQueue() : new ArrivalOrderQueue();
+		this.queue = tuning.isFairQueue ? new FairCallQueue() : new ArrivalOrderQueue();
 	}
 
 	/** True if load probes are sent before each attempt and not on a schedule. */
@@ -97,14 +97,14 @@
 	}
 
 	/** Records an answer of a warming backend server; `ratio` = its answer time as a multiple of the usual one. */
-	noteWarmUpAnswer(ratio: number): void {
+	recordWarmUpAnswer(ratio: number): void {
 		if (Number.isFinite(ratio)) {
 			this._warmUpSlowness.add(Math.min(maxWarmUpRatio, ratio));
 		}
 	}
 
 	/** Fraction of the latest calls on all its backend servers that failed. */
-	get failing(): number {
+	get failureRate(): number {
 		return this._failureRate;
 	}
 
@@ -131,7 +131,7 @@
 	}
 
 	/** Applies a changed declaration. */
-	redeclare(declared: Service): void {
+	updateDeclaration(declared: Service): void {
 		this.declared = declared;
 		this.limit.setTarget(this._targetQueuedPerSlot());
 	}
@@ -146,7 +146,7 @@
 	}
 
 	/** Mean number of calls of other VMs on a backend server: from reports, else estimated from the number of own calls. */
-	usualOthers(vmCount: number): number {
+	meanCallsOfOtherVms(vmCount: number): number {
 		return this._meanCallsOfOtherVms ?? (this.inFlight / Math.max(1, this.servers.length)) * (vmCount - 1);
 	}
 
@@ -155,15 +155,15 @@
 	 * number plus the excess over it in the latest report, weighted by the trust in reports.
 	 */
 	loadOf(server: BackendServerState, vmCount: number, now: Instant): number {
-		const meanOthers = this.usualOthers(vmCount);
-		return (server.attempts.size * (1 + (this._tuning.ownAsSample * (vmCount - 1)))) + meanOthers + (this.reportTrust.value * server.signalAt(now, meanOthers, this.classes.all.holdMean));
+		const meanOthers = this.meanCallsOfOtherVms(vmCount);
+		return (server.attempts.size * (1 + (this._tuning.ownCallExtrapolation * (vmCount - 1)))) + meanOthers + (this.reportTrust.value * server.reportedExcessAt(now, meanOthers, this.classes.all.holdMean));
 	}
 
-	noteOthers(others: number): void {
+	recordCallsOfOtherVms(others: number): void {
 		this._meanCallsOfOtherVms = this._meanCallsOfOtherVms === undefined ? others : this._meanCallsOfOtherVms + ((others - this._meanCallsOfOtherVms) * meanSampleWeight);
 	}
 
-	noteAnswer(hasFailed: boolean): void {
+	recordAnswer(hasFailed: boolean): void {
 		this._answerCount++;
 		this._failureRate += ((hasFailed ? 1 : 0) - this._failureRate) * Math.max(failureSampleWeight, 1 / (this._answerCount + initialSuccessCount));
 	}
@@ -172,12 +172,12 @@
 		return this._callersInFlight.get(caller) ?? 0;
 	}
 
-	noteStarted(caller: string): void {
+	recordAttemptStart(caller: string): void {
 		this.inFlight++;
 		this._callersInFlight.set(caller, this.callerInFlight(caller) + 1);
 	}
 
-	noteEnded(caller: string): void {
+	recordAttemptEnd(caller: string): void {
 		this.inFlight--;
 		const left = this.callerInFlight(caller) - 1;
 		if (left <= 0) {
@@ -193,11 +193,11 @@
 	 * the least important service is refused first without coordination between VMs.
 	 */
 	private _targetQueuedPerSlot(): number {
-		return this._tuning.queuedPerSlot * (this._tuning.priorityFactor ** (this.declared.priority - defaultPriority));
+		return this._tuning.targetQueuedPerSlot * (this._tuning.priorityFactor ** (this.declared.priority - defaultPriority));
 	}
 
 	/** Milliseconds until `ahead` queued calls have started, if each ending call lets one start. */
-	waitFor(ahead: number): number {
+	estimateWait(ahead: number): number {
 		return ahead * this.classes.all.holdMean / Math.max(1, Math.min(this.limit.value, this.inFlight));
 	}
 }
--- a/src/common/calls/types.ts
+++ b/src/common/calls/types.ts
@@ -18,7 +18,7 @@
 export type AttemptId = number;
 
 /** Identifies one load probe. */
-export type MeasurementId = number;
+export type LoadProbeId = number;
 
 /** Identity of a backend server resource. A resource that is deleted and declared again gets a new one. */
 export type BackendServerIdentity = string;
@@ -60,7 +60,7 @@
 	/** Latency objective: answers within this time count as good. */
 	readonly objectiveMilliseconds: Milliseconds;
 	/** Maximum number of attempts, the first one included. */
-	readonly mostAttempts: number;
+	readonly maxAttempts: number;
 	/** Priority among the calls of a service; 0 = most urgent. */
 	readonly priority: number;
 };
@@ -136,7 +136,7 @@
 			readonly bytesPassedOn: number;
 		}
 	/** A load probe has ended; without an answer `report` is undefined. */
-		| {readonly type: 'measured'; readonly measurementId: MeasurementId; readonly report: LoadReport | undefined}
+		| {readonly type: 'measured'; readonly loadProbeId: LoadProbeId; readonly report: LoadReport | undefined}
 		| {readonly type: 'key-claimed'; readonly callId: CallId; readonly claim: KeyClaim}
 	/** A new version of the declared resources is in force. */
 		| {readonly type: 'configured'; readonly configuration: CallConfiguration}
@@ -218,12 +218,12 @@
 	 * This VM's fraction (0 to 1) of every load-probe budget; 0 while it holds no valid share. A strict limit:
 	 * probes are sent only before `loadProbesUntil`.
 	 */
-	readonly measuringPart: number;
+	readonly loadProbeFraction: number;
 	/** Earliest time for load probes; the previous holder of the share may have spent the budget of the window before. */
-	readonly measuringFrom: Instant;
-	readonly measuringUntil: Instant;
+	readonly loadProbesFrom: Instant;
+	readonly loadProbesUntil: Instant;
 	/** This VM's fraction (0 to 1) of the connections to every backend server. */
-	readonly connectionPart: number;
+	readonly connectionFraction: number;
 	/** Estimated number of VMs that serve calls, this one included; at least 1. No strict limit depends on it. */
 	readonly vmCount: number;
 	/** Names of the VMs; undefined where the VMs have no names for one another. */
@@ -302,7 +302,7 @@
 	/** Send a load probe. */
 	| {
 		readonly type: 'measure';
-		readonly measurementId: MeasurementId;
+		readonly loadProbeId: LoadProbeId;
 		readonly service: string;
 		/** Path of the load endpoint. */
 		readonly path: string;
--- a/src/common/calls/warm-up.test.ts
+++ b/src/common/calls/warm-up.test.ts
@@ -2,7 +2,7 @@
 import {testHash} from '../fleet/test-utilities.test.ts';
 import {seededRandom} from '../random/random.ts';
 import {
-	answerMeasures, configurationOf, EngineDriver, linesOf, measuresOf, reportOf, requestOf, startIn,
+	answerLoadProbes, configurationOf, EngineDriver, linesOf, loadProbesIn, reportOf, requestOf, startIn,
 } from './engine-driver.test.ts';
 import {
 	type CallConfiguration, type CallEffect, type CallEvent, type LoadReport,
@@ -10,7 +10,7 @@
 import {OwnerRateQuota} from './rate-quota.ts';
 
 const rule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, mostAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, maxAttempts: 3, priority: 0,
 };
 
 /** Calls per second that a warming backend server may get. */
@@ -61,9 +61,9 @@
 			}
 		}
 
-		const measures = measuresOf(effects);
+		const measures = loadProbesIn(effects);
 		if (measures.length > 0) {
-			apply(answerMeasures(driver, measures, report));
+			apply(answerLoadProbes(driver, measures, report));
 		}
 	};
 
@@ -111,7 +111,7 @@
 		let starts = 0;
 		for (let call = 1; call <= 100; call++) {
 			const effects = [...driver.handle(readOf(call))];
-			effects.push(...answerMeasures(driver, measuresOf(effects), () => reportFor(driver.now < 500 ? 0 : 3000)));
+			effects.push(...answerLoadProbes(driver, loadProbesIn(effects), () => reportFor(driver.now < 500 ? 0 : 3000)));
 			const start = startIn(effects);
 			if (start !== undefined) {
 				starts += driver.now >= 500 ? 1 : 0;
@@ -142,8 +142,8 @@
 		const warming = () => reportFor(5000);
 		let starts = 0;
 		for (let call = 1; call <= 30; call++) {
-			const first = startIn(answerMeasures(driver, measuresOf(driver.handle(readOf(call))), warming));
-			const retry = first === undefined ? undefined : startIn(answerMeasures(driver, measuresOf(driver.fail(first.attemptId, 'connection-refused')), warming));
+			const first = startIn(answerLoadProbes(driver, loadProbesIn(driver.handle(readOf(call))), warming));
+			const retry = first === undefined ? undefined : startIn(answerLoadProbes(driver, loadProbesIn(driver.fail(first.attemptId, 'connection-refused')), warming));
 			starts += (first === undefined ? 0 : 1) + (retry === undefined ? 0 : 1);
 		}
 
@@ -178,9 +178,9 @@
 		const driver = driverAfterEvacuation();
 		let probes = 0;
 		for (let call = 1; call <= 60; call++) {
-			const measures = [...measuresOf(driver.handle(readOf(call))), ...measuresOf(driver.passTime(20))];
+			const measures = [...loadProbesIn(driver.handle(readOf(call))), ...loadProbesIn(driver.passTime(20))];
 			probes += measures.length;
-			answerMeasures(driver, measures, () => undefined);
+			answerLoadProbes(driver, measures, () => undefined);
 		}
 
 		expect(probes).toBeGreaterThan(2 * rate);
@@ -208,7 +208,7 @@
 			const driver = new EngineDriver(declared, {}, seed + index, {}, new OwnerRateQuota(testHash));
 			driver.handle({
 				type: 'shares', shares: {
-					measuringPart: 0, measuringFrom: 0, measuringUntil: 0, connectionPart: 0.2, vmCount: vmNames.length, members: {own, byDataCentre: new Map([['north', vmNames]])},
+					loadProbeFraction: 0, loadProbesFrom: 0, loadProbesUntil: 0, connectionFraction: 0.2, vmCount: vmNames.length, members: {own, byDataCentre: new Map([['north', vmNames]])},
 				},
 			});
 			return driver;
@@ -232,9 +232,9 @@
 				}
 			}
 
-			const measures = measuresOf(effects);
+			const measures = loadProbesIn(effects);
 			if (measures.length > 0) {
-				apply(driver, answerMeasures(driver, measures, identity => report(identity, driver.now)));
+				apply(driver, answerLoadProbes(driver, measures, identity => report(identity, driver.now)));
 			}
 		};
 
--- a/src/common/calls/warm-up.ts
+++ b/src/common/calls/warm-up.ts
@@ -32,12 +32,12 @@
 	 * Whether the backend server has reported its warm-up state so recently that a warm-up which started since has done
 	 * little harm.
 	 */
-	isKnown(now: Instant): boolean {
+	isRecentlyReported(now: Instant): boolean {
 		return now - this._reportedAt <= reportValidMilliseconds;
 	}
 
 	/** Applies the backend server's own report: the remaining time, 0 = it is warm. */
-	note(remaining: Milliseconds, now: Instant): void {
+	applyReport(remaining: Milliseconds, now: Instant): void {
 		this._reportedAt = now;
 		this._until = now + remaining;
 		this._isAssumed = false;
@@ -46,7 +46,7 @@
 	/**
 	 * Applies the registry entry. It is seconds old, so it does not shorten a warm-up that the backend server has reported.
 	 */
-	noteEntry(until: Instant): void {
+	applyEntry(until: Instant): void {
 		this._until = Math.max(this._until, until);
 	}
 
--- a/src/common/entry-vm/entry-vm.test.ts
+++ b/src/common/entry-vm/entry-vm.test.ts
@@ -12,7 +12,7 @@
 
 const settings: FleetSettings = {
 	identity: 'vm-1', peerAddress: 'vm-1:1', callAddress: 'vm-1:2', dataCentre: 'north', seeds: [], defaultPeerPort: 1,
-	shareSlots: 24, shareLeaseMilliseconds: 9000, answerKeepMilliseconds: 3000, smallestSubset: 16,
+	shareSlots: 24, shareLeaseMilliseconds: 9000, addressTtlMilliseconds: 3000, minSubsetSize: 16,
 };
 
 type Recorded = {readonly event: EntryVmEvent; readonly at: Instant};
@@ -71,7 +71,7 @@
 		change: {
 			operationId: 'operation-1', who: 'anna', note: '', when: '2026-12-02T00:00:00Z',
 			mutations: resources.map((resource, index) => ({
-				type: 'put', resource: resourceSchema.parse(resource), expectedVersion: 0, freshIdentity: `identity-of-number-${index}.`.padEnd(22, 'x'),
+				type: 'put', resource: resourceSchema.parse(resource), expectedVersion: 0, newResourceIdentity: `identity-of-number-${index}.`.padEnd(22, 'x'),
 			})),
 		},
 	});
--- a/src/common/fleet/addresses/address-book.test.ts
+++ b/src/common/fleet/addresses/address-selector.test.ts
@@ -1,11 +1,11 @@
 import {expect} from 'earl';
 import {seededRandom} from '../../random/random.ts';
 import {testHash} from '../test-utilities.test.ts';
-import {AddressSelector, type AddressCandidate} from './address-book.ts';
+import {AddressSelector, type AddressCandidate} from './address-selector.ts';
 
 const settings = {
 	identity: 'vm', peerAddress: 'vm:1', callAddress: 'vm:2', dataCentre: 'dc-0', seeds: [], defaultPeerPort: 1, shareSlots: 24,
-	shareLeaseMilliseconds: 9000, answerKeepMilliseconds: 5000, smallestSubset: 16,
+	shareLeaseMilliseconds: 9000, addressTtlMilliseconds: 5000, minSubsetSize: 16,
 };
 
 function vms(count: number, utilisation: (index: number) => number = () => 0): AddressCandidate[] {
--- a/src/common/fleet/addresses/address-book.ts
+++ b/src/common/fleet/addresses/address-selector.ts
@@ -64,7 +64,7 @@
 		return {
 			service,
 			addresses: this._sample(weighted),
-			keepForMilliseconds: Math.round(this._settings.answerKeepMilliseconds * (1 - (ttlSpread * this._random.next()))),
+			keepForMilliseconds: Math.round(this._settings.addressTtlMilliseconds * (1 - (ttlSpread * this._random.next()))),
 		};
 	}
 
@@ -73,7 +73,7 @@
 	 * removing a VM changes only its own place. The size grows with the service's load from the configured minimum.
 	 */
 	private _subset(service: string, {revision, vms}: AddressCandidates, callsInFlight: number): readonly AddressCandidate[] {
-		const size = Math.max(this._settings.smallestSubset, Math.ceil(callsInFlight * spareCapacityFactor / maxCallsInFlightPerVm));
+		const size = Math.max(this._settings.minSubsetSize, Math.ceil(callsInFlight * spareCapacityFactor / maxCallsInFlightPerVm));
 		if (vms.length <= size) {
 			return vms;
 		}
--- a/src/common/fleet/configuration/change-attempt.ts
+++ b/src/common/fleet/configuration/change-attempt.ts
@@ -10,7 +10,7 @@
 import {type ConfigurationReader, type HeadBase} from './configuration-reader.ts';
 import {applyMutations, type ConfigurationState} from './configuration-state.ts';
 import {
-	type ConfigurationHead, encodeHead, encodeShards, fitsHead, headKey, historyCharacters, type ShardReference, shardPrefix, trimRecords,
+	type ConfigurationHead, encodeHead, encodeShards, fitsHead, headKey, maxHistoryCharacters, type ShardReference, shardPrefix, trimRecords,
 } from './head.ts';
 import {planChange} from './plan-change.ts';
 
@@ -185,7 +185,7 @@
 	private _writeShards(): void {
 		const base = this._base!;
 		const record = this._record!;
-		const isLarge = JSON.stringify(record).length > historyCharacters / 4;
+		const isLarge = JSON.stringify(record).length > maxHistoryCharacters / 4;
 		const resources = new Map(this._state.resources);
 		if (isLarge) {
 			applyMutations(resources, record);
--- a/src/common/fleet/configuration/head.ts
+++ b/src/common/fleet/configuration/head.ts
@@ -21,12 +21,12 @@
 export const maxShardCharacters = 450_000;
 
 /** Maximum history in the head, in characters and in records; a longer one makes the writer store a new snapshot. */
-export const historyCharacters = 400_000;
+export const maxHistoryCharacters = 400_000;
 export const maxHistoryRecords = 512;
 
 /** Maximum history kept with a new snapshot, in records and in characters; a VM that missed fewer records needs no snapshot to catch up. */
 export const maxKeptRecords = 128;
-export const keptCharacters = 150_000;
+export const maxKeptCharacters = 150_000;
 
 const shardReferenceSchema = z.strictObject({key: z.string(), revision: z.int().min(0)});
 const headSchema = z.strictObject({
@@ -105,7 +105,7 @@
 
 /** True if these records fit into the head. */
 export function fitsHead(records: readonly ChangeRecord[]): boolean {
-	return records.length <= maxHistoryRecords && JSON.stringify(records).length <= historyCharacters;
+	return records.length <= maxHistoryRecords && JSON.stringify(records).length <= maxHistoryCharacters;
 }
 
 /** The latest records, within the limits that apply with a new snapshot. */
@@ -114,7 +114,7 @@
 	let size = 0;
 	for (const record of records.toReversed()) {
 		size += JSON.stringify(record).length;
-		if (kept.length >= maxKeptRecords || size > keptCharacters) {
+		if (kept.length >= maxKeptRecords || size > maxKeptCharacters) {
 			break;
 		}
 
--- a/src/common/fleet/configuration/plan-change.ts
+++ b/src/common/fleet/configuration/plan-change.ts
@@ -55,7 +55,7 @@
 		const metadata = current
 			? {...current.metadata, version, generation: current.metadata.generation + 1}
 			: {
-				identity: mutation.freshIdentity, createdAt: version, version, generation: 1,
+				identity: mutation.newResourceIdentity, createdAt: version, version, generation: 1,
 			};
 		return ok({type: 'put', resource: mutation.resource, metadata});
 	}
--- a/src/common/fleet/fleet-coordinator.ts
+++ b/src/common/fleet/fleet-coordinator.ts
@@ -3,12 +3,12 @@
 import {type ResourceKey, type StoredResource} from '../model/resources.ts';
 import {type Instant, type RandomSource} from '../model/units.ts';
 import {type ListedVm} from '../platform/types.ts';
-import {AddressSelector} from './addresses/address-book.ts';
+import {AddressSelector} from './addresses/address-selector.ts';
 import {ConfigurationExchange} from './configuration/configuration-exchange.ts';
 import {ConfigurationReader} from './configuration/configuration-reader.ts';
 import {ConfigurationState} from './configuration/configuration-state.ts';
 import {ConfigurationWriter} from './configuration/configuration-writer.ts';
-import {ContactMonitor} from './contact.ts';
+import {ContactMonitor} from './contact-monitor.ts';
 import {FleetContext} from './fleet-context.ts';
 import {FleetReport} from './fleet-report.ts';
 import {LeavingSigns} from './leaving/leaving-signs.ts';
@@ -16,11 +16,11 @@
 import {type MemberView, MemberViews} from './membership/member-views.ts';
 import {Membership} from './membership/membership.ts';
 import {Prober} from './membership/prober.ts';
-import {PeerSender} from './peer-mailbox.ts';
+import {PeerSender} from './peer-sender.ts';
 import {PeerReceiver} from './peer-receiver.ts';
 import {ShareHandover} from './shares/share-handover.ts';
 import {ShareHolder} from './shares/share-holder.ts';
-import {VmLifecycle} from './stopping/vm-life.ts';
+import {VmLifecycle} from './stopping/vm-lifecycle.ts';
 import {
 	type AddressAnswer, type ChangeSummary, type FleetEffect, type FleetEngine, type FleetEvent, type FleetSettings, type FleetStatus, type HashFunction,
 } from './types.ts';
@@ -354,8 +354,8 @@
 	private _emitShares(): void {
 		const shares = this._shareHolder.current();
 		const before = this._shares;
-		const isSame = before?.measuringPart === shares.measuringPart && before.measuringFrom === shares.measuringFrom
-			&& before.measuringUntil === shares.measuringUntil && before.connectionPart === shares.connectionPart && before.vmCount === shares.vmCount;
+		const isSame = before?.loadProbeFraction === shares.loadProbeFraction && before.loadProbesFrom === shares.loadProbesFrom
+			&& before.loadProbesUntil === shares.loadProbesUntil && before.connectionFraction === shares.connectionFraction && before.vmCount === shares.vmCount;
 		if (!isSame) {
 			this._shares = shares;
 			this._context.emit({type: 'shares', shares});
--- a/src/common/fleet/membership/member-views.ts
+++ b/src/common/fleet/membership/member-views.ts
@@ -1,5 +1,5 @@
 /** Values derived from the whole member list. They are cached until the list changes, because building them visits every member. */
-import {type AddressCandidates} from '../addresses/address-book.ts';
+import {type AddressCandidates} from '../addresses/address-selector.ts';
 import {type FleetContext} from '../fleet-context.ts';
 import {type Member, type Membership} from './membership.ts';
 import {chooseByRank} from './rendezvous.ts';
--- a/src/common/fleet/peer-receiver.ts
+++ b/src/common/fleet/peer-receiver.ts
@@ -1,11 +1,11 @@
 /** Dispatches a message from another VM to the components that handle its contents. */
 import {type ConfigurationExchange} from './configuration/configuration-exchange.ts';
-import {type ContactMonitor} from './contact.ts';
+import {type ContactMonitor} from './contact-monitor.ts';
 import {type LeavingSigns} from './leaving/leaving-signs.ts';
 import {type LoadUpdateExchange} from './leaving/load-update-exchange.ts';
 import {type Membership} from './membership/membership.ts';
 import {type Prober} from './membership/prober.ts';
-import {type PeerSender} from './peer-mailbox.ts';
+import {type PeerSender} from './peer-sender.ts';
 import {type PeerMessage} from './peer-messages.ts';
 import {type ShareHandover} from './shares/share-handover.ts';
 import {type VmIdentity} from './types.ts';
--- a/src/common/fleet/shares/share-holder.ts
+++ b/src/common/fleet/shares/share-holder.ts
@@ -83,10 +83,10 @@
 		const heldSlot = this._heldSlot;
 		const from = heldSlot ? this._usableFrom(heldSlot) : 0;
 		return {
-			measuringPart: heldSlot ? 1 / shareSlots : 0,
-			measuringFrom: from,
-			measuringUntil: heldSlot?.expiresAt ?? 0,
-			connectionPart: (heldSlot && now >= from && this._mayKeepConnections(heldSlot) ? 1 - reservedConnectionPart : reservedConnectionPart) / shareSlots,
+			loadProbeFraction: heldSlot ? 1 / shareSlots : 0,
+			loadProbesFrom: from,
+			loadProbesUntil: heldSlot?.expiresAt ?? 0,
+			connectionFraction: (heldSlot && now >= from && this._mayKeepConnections(heldSlot) ? 1 - reservedConnectionPart : reservedConnectionPart) / shareSlots,
 			vmCount: this._vmCount(),
 		};
 	}
--- a/src/common/fleet/shares/shares.test.ts
+++ b/src/common/fleet/shares/shares.test.ts
@@ -19,7 +19,7 @@
 	fleet.onStep = () => {
 		for (const vm of fleet.vms) {
 			const {shares} = vm;
-			const mayUse = vm.isRunning && shares !== undefined && shares.measuringPart > 0 && fleet.now >= shares.measuringFrom && fleet.now < shares.measuringUntil;
+			const mayUse = vm.isRunning && shares !== undefined && shares.loadProbeFraction > 0 && fleet.now >= shares.loadProbesFrom && fleet.now < shares.loadProbesUntil;
 			if (mayUse && fleet.now - (latest.get(vm.name) ?? -1000) >= 200) {
 				latest.set(vm.name, fleet.now);
 				slotUses.push({slot: vm.engine.status(fleet.now).shareSlot!, vm: vm.name, at: fleet.now});
@@ -49,7 +49,7 @@
 
 /** Sum of the connection parts that the VMs claim, as a fraction of the limit. */
 function connectionSum(fleet: FakeFleet): number {
-	return fleet.vms.filter(({isGone}) => !isGone).reduce((sum, {shares}) => sum + (shares?.connectionPart ?? 0), 0);
+	return fleet.vms.filter(({isGone}) => !isGone).reduce((sum, {shares}) => sum + (shares?.connectionFraction ?? 0), 0);
 }
 
 function fleetOf(count: number, seed: number): FakeFleet {
@@ -65,7 +65,7 @@
 }
 
 function holders(fleet: FakeFleet): string[] {
-	return fleet.vms.filter(({isGone}) => !isGone).map(vm => `${vm.name} ${vm.engine.status(fleet.now).shareSlot === undefined ? 'none' : 'holds'} ${(vm.shares!.connectionPart * slots).toFixed(1)}`);
+	return fleet.vms.filter(({isGone}) => !isGone).map(vm => `${vm.name} ${vm.engine.status(fleet.now).shareSlot === undefined ? 'none' : 'holds'} ${(vm.shares!.connectionFraction * slots).toFixed(1)}`);
 }
 
 type Fault = {readonly kind: 'pause' | 'kill' | 'add' | 'stop' | 'outage' | 'cut' | 'lost' | 'suspend'; readonly vm: number; readonly milliseconds: number};
--- a/src/common/fleet/stopping/vm-life.ts
+++ b/src/common/fleet/stopping/vm-lifecycle.ts
@@ -42,7 +42,7 @@
 			leave: () => {
 				this._enter('leaving');
 				parts.announce();
-				this._scheduleEvent('answers-expired', _context.settings.answerKeepMilliseconds + announcementSpreadMilliseconds, 'ANSWERS_EXPIRED');
+				this._scheduleEvent('answers-expired', _context.settings.addressTtlMilliseconds + announcementSpreadMilliseconds, 'ANSWERS_EXPIRED');
 			},
 			closeIdle: () => {
 				this._enter('closing-idle');
--- a/src/common/fleet/test-utilities.test.ts
+++ b/src/common/fleet/test-utilities.test.ts
@@ -92,8 +92,8 @@
 			defaultPeerPort: 1,
 			shareSlots: 24,
 			shareLeaseMilliseconds: testLeaseMilliseconds,
-			answerKeepMilliseconds: 3000,
-			smallestSubset: 16,
+			addressTtlMilliseconds: 3000,
+			minSubsetSize: 16,
 			...this._overrides,
 			...overrides,
 		}, this._seed + this.vms.length + 1);
@@ -342,7 +342,7 @@
 		note: '',
 		when: '2026-01-01T00:00:00Z',
 		mutations: resources.map((resource, index) => ({
-			type: 'put', resource, expectedVersion, freshIdentity: `${operationId}-${index}`.padEnd(22, '_').slice(0, 22),
+			type: 'put', resource, expectedVersion, newResourceIdentity: `${operationId}-${index}`.padEnd(22, '_').slice(0, 22),
 		})),
 	};
 }
--- a/src/common/fleet/types.ts
+++ b/src/common/fleet/types.ts
@@ -45,9 +45,9 @@
 	/** Duration of the lease on a share slot. */
 	readonly shareLeaseMilliseconds: Milliseconds;
 	/** Longest time for which a caller may cache an address answer. */
-	readonly answerKeepMilliseconds: Milliseconds;
+	readonly addressTtlMilliseconds: Milliseconds;
 	/** Minimum number of VMs that serve one service. With this many VMs or fewer, every VM serves every service. */
-	readonly smallestSubset: number;
+	readonly minSubsetSize: number;
 };
 
 /** Creation, replacement or deletion of one resource within an operator's change. */
@@ -58,7 +58,7 @@
 		/** Required current version of the resource; 0 = it must not exist; undefined = no requirement. */
 		readonly expectedVersion: number | undefined;
 		/** Identity assigned if the mutation creates the resource (22 characters of base64url). */
-		readonly freshIdentity: string;
+		readonly newResourceIdentity: string;
 	}
 	| {readonly type: 'delete'; readonly key: ResourceKey; readonly expectedVersion: number | undefined};
 
--- a/src/common/platform/types.ts
+++ b/src/common/platform/types.ts
@@ -35,7 +35,7 @@
 export type StoreOperation
 	= | {readonly type: 'get'; readonly key: string}
 	/** `allowsStale` = the list may be some seconds old, which costs less; its revision shows how old. */
-		| {readonly type: 'list'; readonly prefix: string; readonly mayBeOld?: boolean}
+		| {readonly type: 'list'; readonly prefix: string; readonly allowsStale?: boolean}
 	/** Writes only if the key's revision is `expected` (0 = only if the key does not exist). The key is deleted when the lease ends. */
 		| {readonly type: 'compare-and-swap'; readonly key: string; readonly expected: Revision; readonly value: string; readonly leaseId?: string}
 		| {readonly type: 'delete'; readonly key: string; readonly expected: Revision}
--- a/src/common/protocol/dialect.ts
+++ b/src/common/protocol/dialect.ts
@@ -8,7 +8,7 @@
 export type HeaderMap = Readonly<Record<string, string | string[] | undefined>>;
 
 /** Values that jaydale adds to an attempt's request, besides the caller's own headers. */
-export type AttemptFacts = {
+export type AttemptMetadata = {
 	/** Time remaining until the attempt's deadline. */
 	readonly timeoutMilliseconds: Milliseconds;
 	readonly identity: BackendServerIdentity;
@@ -17,9 +17,9 @@
 };
 
 /** Values parsed from the head of a backend server's answer. */
-export type AnswerReading = {
+export type ParsedAnswerHead = {
 	/** False if the answer belongs to another call, or lacks the proof that a backend server produced it for this call. */
-	readonly isOwn: boolean;
+	readonly isForThisCall: boolean;
 	/** The answer carries the dialect's declaration that the backend server did not run the call. */
 	readonly isDeclaredNotRun: boolean;
 	readonly report: LoadReport | undefined;
@@ -37,7 +37,7 @@
 };
 
 /** Headers and body of an answer that jaydale generates itself. */
-export type OwnAnswer = {
+export type GeneratedAnswer = {
 	readonly headers: Readonly<Record<string, string | number>>;
 	readonly body: string;
 };
@@ -50,19 +50,19 @@
 	 */
 	readonly heldAnswerBytes: number;
 	/** Returns the headers of an attempt. */
-	attemptHeaders(callerHeaders: HeaderMap, metadata: AttemptFacts): string[];
+	attemptHeaders(callerHeaders: HeaderMap, metadata: AttemptMetadata): string[];
 	/** Parses the head of an answer; `callerHeaders` are the headers of the call that it answers. */
-	readAnswer(status: number, headers: HeaderMap, callerHeaders: HeaderMap): AnswerReading;
+	parseAnswerHead(status: number, headers: HeaderMap, callerHeaders: HeaderMap): ParsedAnswerHead;
 	/** Returns the headers to send to the caller, given those of the backend server's answer. */
 	answerHeaders(headers: HeaderMap, outcome: CallOutcome): string[];
 	/** Returns the answer to a refused call. */
-	refusal(refusal: Refusal): OwnAnswer;
+	refusal(refusal: Refusal): GeneratedAnswer;
 	/** Parses the answer to a load probe of this backend server; undefined if it contains no usable load report. */
-	readMeasurement(identity: BackendServerIdentity, status: number, headers: HeaderMap, body: string): LoadReport | undefined;
+	parseLoadProbe(identity: BackendServerIdentity, status: number, headers: HeaderMap, body: string): LoadReport | undefined;
 };
 
 /** Values parsed from the head of a routed call, besides its route. */
-export type RequestReading = {
+export type ParsedRequestHead = {
 	/** Identifies the call in all log lines, both here and at its caller. */
 	readonly traceId: string;
 	/** Time remaining according to the caller; undefined if the route's timeout applies. */
@@ -71,5 +71,5 @@
 
 /** A dialect in which the host and path of a call determine its route. */
 export type RoutedDialect = Dialect & {
-	readRequest(headers: HeaderMap): RequestReading;
+	parseRequestHead(headers: HeaderMap): ParsedRequestHead;
 };
--- a/src/common/protocol/jaydale-dialect.ts
+++ b/src/common/protocol/jaydale-dialect.ts
@@ -1,7 +1,7 @@
 /** jaydale's own dialect: the `jaydale-` headers, problem bodies (RFC 9457) and the load endpoint. */
 import {type BackendServerIdentity, type CallOutcome, type LoadReport} from '../calls/types.ts';
 import {
-	type AnswerReading, type AttemptFacts, type Dialect, type HeaderMap, type OwnAnswer, type Refusal,
+	type ParsedAnswerHead, type AttemptMetadata, type Dialect, type HeaderMap, type GeneratedAnswer, type Refusal,
 } from './dialect.ts';
 import {forwardedHeaders} from './forwarding.ts';
 import {
@@ -15,7 +15,7 @@
 	/** Answers are streamed without buffering; a download that fails midway is resumed from its offset if it has a validator. */
 	readonly heldAnswerBytes = 0;
 
-	attemptHeaders(callerHeaders: HeaderMap, {timeoutMilliseconds, traceparent}: AttemptFacts): string[] {
+	attemptHeaders(callerHeaders: HeaderMap, {timeoutMilliseconds, traceparent}: AttemptMetadata): string[] {
 		const headers = forwardedHeaders(callerHeaders);
 		headers.push(timeoutHeader, String(Math.max(1, Math.floor(timeoutMilliseconds))), retryHeader, 'none');
 		if (traceparent !== undefined) {
@@ -25,10 +25,10 @@
 		return headers;
 	}
 
-	readAnswer(_status: number, headers: HeaderMap): AnswerReading {
+	parseAnswerHead(_status: number, headers: HeaderMap): ParsedAnswerHead {
 		const header = headers[loadReportHeader];
 		return {
-			isOwn: true,
+			isForThisCall: true,
 			isDeclaredNotRun: headers[declaredNotRunHeader] === 'not-run',
 			report: parseLoadHeader(typeof header === 'string' ? header : undefined, headers[leavingHeader] === 'true'),
 		};
@@ -40,7 +40,7 @@
 		return forwarded;
 	}
 
-	refusal({status, reason, outcome, retryAfterMilliseconds}: Refusal): OwnAnswer {
+	refusal({status, reason, outcome, retryAfterMilliseconds}: Refusal): GeneratedAnswer {
 		const body = JSON.stringify({
 			type: problemTypePrefix + reason,
 			title: reason.replaceAll('-', ' '),
@@ -58,7 +58,7 @@
 		};
 	}
 
-	readMeasurement(_identity: BackendServerIdentity, _status: number, _headers: HeaderMap, body: string): LoadReport | undefined {
+	parseLoadProbe(_identity: BackendServerIdentity, _status: number, _headers: HeaderMap, body: string): LoadReport | undefined {
 		return body.length > maxLoadBodyCharacters ? undefined : parseLoadBody(JSON.parse(body));
 	}
 }
--- a/src/common/registry/configuration-registry.ts
+++ b/src/common/registry/configuration-registry.ts
@@ -2,17 +2,17 @@
 import {describeFailure} from '../errors/failure.ts';
 import {type Milliseconds} from '../model/units.ts';
 import {type RegistryContext} from './registry-context.ts';
-import {type ConfigurationDocument, type DocumentReader} from './types.ts';
+import {type ConfigurationDocument, type DocumentCodec} from './types.ts';
 
 /** Longest call duration assumed before any route is configured. */
 const defaultLongestCallMilliseconds: Milliseconds = 2000;
 
 export class ConfigurationRegistry {
 	private readonly _context: RegistryContext;
-	private readonly _documents: DocumentReader;
+	private readonly _documents: DocumentCodec;
 	private _inForce: ConfigurationDocument | undefined;
 
-	constructor(context: RegistryContext, documents: DocumentReader) {
+	constructor(context: RegistryContext, documents: DocumentCodec) {
 		this._context = context;
 		this._documents = documents;
 	}
--- a/src/common/registry/fleet-model.test.ts
+++ b/src/common/registry/fleet-model.test.ts
@@ -7,7 +7,7 @@
 import {RegistryFleet} from './registry-fleet.ts';
 import {type MemberAnnouncement, type FeedFrame} from './types.ts';
 import {StoreModel} from './store-model.test.ts';
-import {memberHeartbeatMilliseconds, usualLeaseMilliseconds} from './vm-loss-budget.ts';
+import {defaultMemberHeartbeatMilliseconds, defaultLeaseMilliseconds} from './vm-loss-budget.ts';
 
 /** Delivery time of a feed frame, and of a refused connection. */
 const transferMilliseconds: Milliseconds = 2;
@@ -53,7 +53,7 @@
 		this.startedAt = model.timeline.now;
 		this.identity = identity;
 		this.address = address;
-		const {convergeMilliseconds = 3000, leaseMilliseconds = usualLeaseMilliseconds} = options;
+		const {convergeMilliseconds = 3000, leaseMilliseconds = defaultLeaseMilliseconds} = options;
 		this.fleet = new RegistryFleet({
 			...settings,
 			identity,
@@ -63,7 +63,7 @@
 			convergeMilliseconds,
 			watchPauseMilliseconds: 0.4 * convergeMilliseconds,
 			leaseMilliseconds,
-			memberBeatMilliseconds: memberHeartbeatMilliseconds,
+			memberHeartbeatMilliseconds: defaultMemberHeartbeatMilliseconds,
 			seeds: model.seeds,
 		}, documents, random);
 	}
--- a/src/common/registry/fleet-shares-source.ts
+++ b/src/common/registry/fleet-shares-source.ts
@@ -31,10 +31,10 @@
 		this._context.emit({
 			type: 'shares',
 			shares: {
-				measuringPart: 0,
-				measuringFrom: 0,
-				measuringUntil: 0,
-				connectionPart: Math.min(1, connectionSlack / vmCount),
+				loadProbeFraction: 0,
+				loadProbesFrom: 0,
+				loadProbesUntil: 0,
+				connectionFraction: Math.min(1, connectionSlack / vmCount),
 				vmCount,
 				members: this._vms.members(isServing),
 			},
--- a/src/common/registry/lapsed-vms.test.ts
+++ b/src/common/registry/lapsed-vms.test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {type FleetEffect} from '../fleet/types.ts';
 import {entryOf, RegistryDriver} from './registry-driver.test.ts';
-import {maxLossDetectionMilliseconds, memberHeartbeatMilliseconds, usualLeaseMilliseconds} from './vm-loss-budget.ts';
+import {maxLossDetectionMilliseconds, defaultMemberHeartbeatMilliseconds, defaultLeaseMilliseconds} from './vm-loss-budget.ts';
 
 const own = entryOf('vms/own', '10.0.0.1:80', 2);
 const configuration = entryOf('configuration', '1');
@@ -110,7 +110,7 @@
 	// Guards the limit of 6 s, independent of the convergence time.
 	it('stays half a second below the limit with the default timings', () => {
 		const sums = [2000, 2500, 3000].map(converge => maxLossDetectionMilliseconds({
-			leaseMilliseconds: usualLeaseMilliseconds, memberBeatMilliseconds: memberHeartbeatMilliseconds, watchPauseMilliseconds: 0.4 * converge,
+			leaseMilliseconds: defaultLeaseMilliseconds, memberHeartbeatMilliseconds: defaultMemberHeartbeatMilliseconds, watchPauseMilliseconds: 0.4 * converge,
 		}));
 		expect(Math.max(...sums)).toBeLessThan(5500);
 	});
--- a/src/common/registry/lapsed-while-turning.test.ts
+++ b/src/common/registry/lapsed-while-following.test.ts
@@ -83,7 +83,7 @@
 		driver.reply('list', {type: 'entries', entries: [...servers, ...others], revision: 25});
 		driver.passTime(10);
 		const list = driver.pendingRequests.find(({operation}) => operation.type === 'list')?.operation;
-		expect([list?.type === 'list' && list.mayBeOld === true, driver.usableServers]).toEqual([false, ['a', 'b']]);
+		expect([list?.type === 'list' && list.allowsStale === true, driver.usableServers]).toEqual([false, ['a', 'b']]);
 		driver.reply('list', {type: 'entries', entries: [...servers.slice(0, 2), ...others, entryOf('vms/own', '10.0.0.1:80', 12)], revision: 41});
 		driver.passTime(2500);
 		expect(driver.usableServers).toEqual(['a']);
--- a/src/common/registry/lost-vms-outage.test.ts
+++ b/src/common/registry/lost-vms-outage.test.ts
@@ -6,7 +6,7 @@
 import {type Milliseconds} from '../model/units.ts';
 import {
 	type LossResult, observeLoss, powerOff, randomPart, startedModel,
-} from './loss-course.test.ts';
+} from './lost-vms-harness.test.ts';
 
 /** Time after the store's recovery within which no VM may name a lost VM any longer. */
 const maxNamedMilliseconds: Milliseconds = 3000;
