--- a/src/common/registry/lost-vms.test.ts
+++ b/src/common/registry/lost-vms.test.ts
@@ -4,7 +4,7 @@
 import {type FleetModel, type ModelProcess} from './fleet-model.test.ts';
 import {
 	type LossResult, observeLoss, powerOff, randomPart, settleMilliseconds, startedModel,
-} from './loss-course.test.ts';
+} from './lost-vms-harness.test.ts';
 
 /** No VM may name a lost VM for longer, whichever VMs were lost together. */
 const maxNamedMilliseconds: Milliseconds = 5000;
--- a/src/common/registry/member-check.ts
+++ b/src/common/registry/member-check.ts
@@ -60,7 +60,7 @@
 			return Number.POSITIVE_INFINITY;
 		}
 
-		return state === 'turning' ? graceEndsAt : lastSeenAt + (silentHeartbeats * this._context.settings.memberBeatMilliseconds);
+		return state === 'turning' ? graceEndsAt : lastSeenAt + (silentHeartbeats * this._context.settings.memberHeartbeatMilliseconds);
 	}
 
 	private _run(): void {
--- a/src/common/registry/own-entry.ts
+++ b/src/common/registry/own-entry.ts
@@ -5,7 +5,7 @@
 import {chartTable} from './chart-table.ts';
 import {type MemberRegistrar} from './member-registrar.ts';
 import {type RegistryContext} from './registry-context.ts';
-import {type DocumentReader, type MemberAnnouncement} from './types.ts';
+import {type DocumentCodec, type MemberAnnouncement} from './types.ts';
 
 type State = keyof typeof chart.states;
 type Event = 'WANTED' | 'FOLLOWS' | 'READS' | 'ALONE' | 'WITHDRAWN';
@@ -35,7 +35,7 @@
 
 export class OwnEntry {
 	private readonly _context: RegistryContext;
-	private readonly _documents: DocumentReader;
+	private readonly _documents: DocumentCodec;
 	private readonly _registrar: MemberRegistrar;
 	private _state: State = 'absent';
 	private _source: PeerAddress | undefined;
@@ -43,7 +43,7 @@
 	/** The entry is known to be in the store. */
 	private _isInStore = false;
 
-	constructor(context: RegistryContext, documents: DocumentReader, registrar: MemberRegistrar) {
+	constructor(context: RegistryContext, documents: DocumentCodec, registrar: MemberRegistrar) {
 		this._context = context;
 		this._documents = documents;
 		this._registrar = registrar;
@@ -159,8 +159,8 @@
 
 	/** Sends heartbeats to the registrar. */
 	private _scheduleHeartbeat(): void {
-		const {memberBeatMilliseconds} = this._context.settings;
-		this._context.timers.set('own-beat', this._context.now + memberBeatMilliseconds, () => {
+		const {memberHeartbeatMilliseconds} = this._context.settings;
+		this._context.timers.set('own-beat', this._context.now + memberHeartbeatMilliseconds, () => {
 			this._announce();
 			this._scheduleHeartbeat();
 		});
--- a/src/common/registry/registry-driver.test.ts
+++ b/src/common/registry/registry-driver.test.ts
@@ -11,7 +11,7 @@
 import {seededRandom} from '../random/random.ts';
 import {RegistryFleet} from './registry-fleet.ts';
 import {
-	type DocumentReader, type MemberAnnouncement, type FeedFrame, type RegistrySettings,
+	type DocumentCodec, type MemberAnnouncement, type FeedFrame, type RegistrySettings,
 } from './types.ts';
 
 /** Settings of the engine under test; a test of a whole fleet replaces identity and addresses for each VM. */
@@ -24,17 +24,17 @@
 		configurationKey: 'configuration', serverPrefix: 'servers/', vmPrefix: 'vms/', evacuationPrefix: 'evacuations/', commonPrefix: '',
 	},
 	leaseMilliseconds: 3000,
-	memberBeatMilliseconds: 1500,
+	memberHeartbeatMilliseconds: 1500,
 	watchPauseMilliseconds: 500,
 	convergeMilliseconds: 2000,
 	seeds: [],
 	heartbeatMilliseconds: 1500,
-	answerKeepMilliseconds: 2000,
+	addressTtlMilliseconds: 2000,
 	graceMilliseconds: 6000,
 };
 
 /** Documents in a test format: `version`, `service address state [start [warming]]`, or `address [link]`. */
-export const documents: DocumentReader = {
+export const documents: DocumentCodec = {
 	configuration(value) {
 		const version = Number(value);
 		return Number.isNaN(version)
@@ -47,7 +47,7 @@
 					routes: [{
 						name: 'all', host: 'one', prefix: '/', parts: [{service: 'orders', weight: 1}],
 						rule: {
-							route: 'main', isIdempotent: true, timeoutMilliseconds: 1500, objectiveMilliseconds: 300, mostAttempts: 2, priority: 0,
+							route: 'main', isIdempotent: true, timeoutMilliseconds: 1500, objectiveMilliseconds: 300, maxAttempts: 2, priority: 0,
 						},
 					}],
 					limits: {
--- a/src/common/registry/registry-fleet.ts
+++ b/src/common/registry/registry-fleet.ts
@@ -22,7 +22,7 @@
 import {ServerRegistry} from './server-registry.ts';
 import {type MirrorChanges, StoreMirror} from './store-mirror.ts';
 import {
-	type DocumentReader, type FeedFrame, type RegistrySettings,
+	type DocumentCodec, type FeedFrame, type RegistrySettings,
 } from './types.ts';
 import {VmDirectory, type VmRanks} from './vm-directory.ts';
 import {VmProber} from './vm-prober.ts';
@@ -60,7 +60,7 @@
 	private _isRegistered = false;
 	private readonly _shares: FleetSharesSource;
 
-	constructor(settings: RegistrySettings, documents: DocumentReader, random: RandomSource) {
+	constructor(settings: RegistrySettings, documents: DocumentCodec, random: RandomSource) {
 		this._context = new RegistryContext(settings);
 		this._seeds = shuffled(settings.seeds.filter(seed => seed !== settings.own.peerAddress), random);
 		this._configuration = new ConfigurationRegistry(this._context, documents);
--- a/src/common/registry/server-registry.ts
+++ b/src/common/registry/server-registry.ts
@@ -5,7 +5,7 @@
 import {type Milliseconds} from '../model/units.ts';
 import {RemovalGracePeriod} from './removal-grace-period.ts';
 import {type RegistryContext} from './registry-context.ts';
-import {type DocumentFailure, type DocumentReader, type ServerEntry} from './types.ts';
+import {type DocumentFailure, type DocumentCodec, type ServerEntry} from './types.ts';
 
 /** An entry lapses after this many heartbeat intervals without a renewal. */
 const missedHeartbeatsToLapse = 3;
@@ -40,7 +40,7 @@
 
 export class ServerRegistry {
 	private readonly _context: RegistryContext;
-	private readonly _documents: DocumentReader;
+	private readonly _documents: DocumentCodec;
 	private readonly _entries = new Map<string, ServerEntry>();
 	/** Why an entry is invalid, by key, so that a reason is logged once and not with each heartbeat. */
 	private readonly _unreadable = new Map<string, string>();
@@ -49,7 +49,7 @@
 	private readonly _gracePeriod: RemovalGracePeriod;
 	private readonly _onRemoved: (key: string) => void;
 
-	constructor(context: RegistryContext, documents: DocumentReader, {onRemoved, onChanged, isReading}: RegistryListener) {
+	constructor(context: RegistryContext, documents: DocumentCodec, {onRemoved, onChanged, isReading}: RegistryListener) {
 		this._context = context;
 		this._documents = documents;
 		this._onRemoved = onRemoved;
--- a/src/common/registry/store-mirror.ts
+++ b/src/common/registry/store-mirror.ts
@@ -140,9 +140,9 @@
 		this._isRequestPending = true;
 		if (this._revision === undefined) {
 			// A stale list is allowed only as the first one, since a watch follows; a stale list must not replace known entries.
-			const mayBeOld = !this._hasListed && !this._listener.isSeed();
-			this._context.request({type: 'list', prefix: this._context.settings.layout.commonPrefix, mayBeOld}, reply => {
-				this._handleList(reply, mayBeOld);
+			const allowsStale = !this._hasListed && !this._listener.isSeed();
+			this._context.request({type: 'list', prefix: this._context.settings.layout.commonPrefix, allowsStale}, reply => {
+				this._handleList(reply, allowsStale);
 			});
 			return;
 		}
@@ -157,7 +157,7 @@
 		});
 	}
 
-	private _handleList(reply: StoreReply, mayBeOld: boolean): void {
+	private _handleList(reply: StoreReply, allowsStale: boolean): void {
 		this._isRequestPending = false;
 		if (reply.type !== 'entries') {
 			this._handleFailure(reply);
@@ -165,7 +165,7 @@
 		}
 
 		this._hasListed = true;
-		if (mayBeOld) {
+		if (allowsStale) {
 			this._handleStaleList(reply);
 			return;
 		}
@@ -230,7 +230,7 @@
 	private _relist(): void {
 		const feedRevision = this._revision ?? 0;
 		this._isRequestPending = true;
-		this._context.request({type: 'list', prefix: this._context.settings.layout.commonPrefix, mayBeOld: true}, reply => {
+		this._context.request({type: 'list', prefix: this._context.settings.layout.commonPrefix, allowsStale: true}, reply => {
 			if (reply.type === 'entries' && reply.revision >= feedRevision) {
 				this._handleList(reply, false);
 				return;
--- a/src/common/registry/store-model.test.ts
+++ b/src/common/registry/store-model.test.ts
@@ -94,7 +94,7 @@
 
 	private _charge(operation: StoreOperation): void {
 		const pages = operation.type === 'list' ? Math.max(1, Math.ceil(this._entries.size / pageEntries)) : 1;
-		const isReduced = operation.type === 'keep-lease' || (operation.type === 'list' && operation.mayBeOld === true);
+		const isReduced = operation.type === 'keep-lease' || (operation.type === 'list' && operation.allowsStale === true);
 		this.costs.set(operation.type, (this.costs.get(operation.type) ?? 0) + (pages * (isReduced ? reducedCost : 1)));
 	}
 
--- a/src/common/registry/types.ts
+++ b/src/common/registry/types.ts
@@ -54,7 +54,7 @@
 };
 
 /** Parses and serialises the documents in the store. */
-export type DocumentReader = {
+export type DocumentCodec = {
 	configuration(value: string): Result<ConfigurationDocument, DocumentFailure>;
 	server(key: string, value: string): Result<ServerEntry, DocumentFailure>;
 	vm(value: string): Result<VmEntry, DocumentFailure>;
@@ -82,7 +82,7 @@
 	/** Term of the leases on VM entries. */
 	readonly leaseMilliseconds: Milliseconds;
 	/** Interval of the heartbeats that a VM sends to the VM that registers it. */
-	readonly memberBeatMilliseconds: Milliseconds;
+	readonly memberHeartbeatMilliseconds: Milliseconds;
 	/** Pause between the reply to a watch and the next watch. A longer pause needs fewer calls but delays updates. */
 	readonly watchPauseMilliseconds: Milliseconds;
 	/** A change is in force on this VM within this time after the store has accepted it. */
@@ -94,7 +94,7 @@
 	 */
 	readonly heartbeatMilliseconds: Milliseconds;
 	/** Longest time for which a caller may cache the list of VM addresses. */
-	readonly answerKeepMilliseconds: Milliseconds;
+	readonly addressTtlMilliseconds: Milliseconds;
 	/** Time from the stop request until the process is killed. */
 	readonly graceMilliseconds: Milliseconds;
 };
--- a/src/common/registry/vm-directory.ts
+++ b/src/common/registry/vm-directory.ts
@@ -7,7 +7,7 @@
 import {type LapseOutcome, LapsedVms} from './lapsed-vms.ts';
 import {type RegistryContext} from './registry-context.ts';
 import {type RegistryListener} from './server-registry.ts';
-import {type DocumentReader, type VmEntry} from './types.ts';
+import {type DocumentCodec, type VmEntry} from './types.ts';
 import {type VmProber} from './vm-prober.ts';
 
 /** Most addresses in one answer: a caller uses only a few, and each costs bytes at every caller. */
@@ -61,7 +61,7 @@
 
 export class VmDirectory {
 	private readonly _context: RegistryContext;
-	private readonly _documents: DocumentReader;
+	private readonly _documents: DocumentCodec;
 	private readonly _random: RandomSource;
 	private readonly _entries = new Map<string, KnownVm>();
 	private _ranks: VmRanks | undefined;
@@ -74,7 +74,7 @@
 	private readonly _lapsed: LapsedVms;
 	private readonly _onRemoved: (key: string) => void;
 
-	constructor(context: RegistryContext, documents: DocumentReader, {random, prober, listener}: VmDirectoryOptions) {
+	constructor(context: RegistryContext, documents: DocumentCodec, {random, prober, listener}: VmDirectoryOptions) {
 		this._context = context;
 		this._documents = documents;
 		this._random = random;
@@ -204,7 +204,7 @@
 		return {
 			service,
 			addresses: chosen.map(entry => ({address: entry.callAddress, dataCentre: entry.dataCentre, weight: 1})),
-			keepForMilliseconds: this._context.settings.answerKeepMilliseconds,
+			keepForMilliseconds: this._context.settings.addressTtlMilliseconds,
 		};
 	}
 
--- a/src/common/registry/vm-loss-budget.ts
+++ b/src/common/registry/vm-loss-budget.ts
@@ -5,10 +5,10 @@
  * Default term of the lease under which a registrar keeps its own entry and those of its followers. It limits how long
  * these entries remain if the registrar is lost together with the VMs that could remove them.
  */
-export const usualLeaseMilliseconds: Milliseconds = 2500;
+export const defaultLeaseMilliseconds: Milliseconds = 2500;
 
 /** Default interval of the heartbeats that a VM sends to its registrar. */
-export const memberHeartbeatMilliseconds: Milliseconds = 1000;
+export const defaultMemberHeartbeatMilliseconds: Milliseconds = 1000;
 
 /** Heartbeat intervals without a heartbeat after which a registrar probes a follower. */
 export const silentHeartbeats = 2.5;
@@ -22,7 +22,7 @@
 /** Configurable parts of the budget. */
 export type LossTimings = {
 	readonly leaseMilliseconds: Milliseconds;
-	readonly memberBeatMilliseconds: Milliseconds;
+	readonly memberHeartbeatMilliseconds: Milliseconds;
 	readonly watchPauseMilliseconds: Milliseconds;
 };
 
@@ -31,7 +31,7 @@
  * removed: that of a registrar ends with its lease, and that of a follower is removed by its registrar after a probe.
  * Readers of the store see the removal with their next watch and probe the VM as well.
  */
-export function maxLossDetectionMilliseconds({leaseMilliseconds, memberBeatMilliseconds, watchPauseMilliseconds}: LossTimings): Milliseconds {
-	const detectionMilliseconds = Math.max(leaseMilliseconds, (silentHeartbeats * memberBeatMilliseconds) + vmProbeTimeoutMilliseconds);
+export function maxLossDetectionMilliseconds({leaseMilliseconds, memberHeartbeatMilliseconds, watchPauseMilliseconds}: LossTimings): Milliseconds {
+	const detectionMilliseconds = Math.max(leaseMilliseconds, (silentHeartbeats * memberHeartbeatMilliseconds) + vmProbeTimeoutMilliseconds);
 	return detectionMilliseconds + watchPauseMilliseconds + vmProbeTimeoutMilliseconds + (2 * transferMilliseconds);
 }
--- a/src/common/settings/entry-settings.ts
+++ b/src/common/settings/entry-settings.ts
@@ -3,7 +3,7 @@
  * types, defaults, checks and the operators' reference come from it.
  */
 import * as z from 'zod';
-import {usualLeaseMilliseconds} from '../registry/vm-loss-budget.ts';
+import {defaultLeaseMilliseconds} from '../registry/vm-loss-budget.ts';
 
 const endpointSchema = z.string().regex(
 	/^(?:(?:\d{1,3}\.){3}\d{1,3}|\[[\da-f:]+\]):\d{1,5}$/v,
@@ -32,7 +32,7 @@
 	convergeSeconds: secondsSchema.default(2)
 		.describe('Time from the store\'s word that a change is accepted until it is in force on every VM. Sets how often the store is read, and how old a registry feed may be.'),
 	heartbeatSeconds: secondsSchema.describe('How often backend servers renew their entries; after three such times without one they lapse.'),
-	leaseSeconds: secondsSchema.default(usualLeaseMilliseconds / 1000)
+	leaseSeconds: secondsSchema.default(defaultLeaseMilliseconds / 1000)
 		.describe('Term of the lease on the entries that this VM registers: they outlive it for so long. VMs whose lease ends too early are asked before they count as gone.'),
 });
 
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -18,7 +18,7 @@
 import {type DeciderLoop} from '../node/decider-loop.ts';
 import {type FleetCarrier, type OutwardEffect} from '../node/fleet/fleet-carrier.ts';
 import {type BackendConnections} from '../node/front/backend-connections.ts';
-import {type CallCarrier, type EndedCall} from '../node/front/call-carrier.ts';
+import {type CallEffectExecutor, type EndedCall} from '../node/front/call-effect-executor.ts';
 import {type CallerServer} from '../node/front/caller-server.ts';
 import {type Logger} from '../node/logging/types.ts';
 import {type Metrics} from '../node/metrics/types.ts';
@@ -34,7 +34,7 @@
 	readonly logger: Logger;
 	readonly entryVm: EntryVm;
 	readonly loop: DeciderLoop<EntryVmEvent, EntryVmEffect>;
-	readonly callCarrier: CallCarrier;
+	readonly callCarrier: CallEffectExecutor;
 	readonly fleetCarrier: FleetCarrier;
 	readonly connections: BackendConnections;
 	readonly callerServer: CallerServer;
@@ -235,7 +235,7 @@
 			connections,
 			configurationVersion: fleet.configurationVersion,
 			utilisation: this._lastUtilisation,
-			measuringPart: fleet.shares.measuringPart,
+			measuringPart: fleet.shares.loadProbeFraction,
 		});
 		const {traffic} = this._parts.peers;
 		metrics.peerTraffic('in', traffic.messagesIn - this._traffic.messagesIn, traffic.bytesIn - this._traffic.bytesIn);
--- a/src/daemon/entry-daemon.ts
+++ b/src/daemon/entry-daemon.ts
@@ -17,10 +17,10 @@
 import {type FeedServer} from '../node/fleet/feed-server.ts';
 import {type OutwardEffect, type StoreCarrier} from '../node/fleet/store-carrier.ts';
 import {type BackendConnections} from '../node/front/backend-connections.ts';
-import {type CallCarrier, type EndedCall, type RateLimitChanged} from '../node/front/call-carrier.ts';
+import {type CallEffectExecutor, type EndedCall, type RateLimitChanged} from '../node/front/call-effect-executor.ts';
 import {type PageServer} from '../node/front/page-server.ts';
-import {type StartingHold} from '../node/front/starting-hold.ts';
-import {type CutCall, type RoutedServer} from '../node/front/routed-server.ts';
+import {type ReadinessGate} from '../node/front/readiness-gate.ts';
+import {type CutAnswerReport, type RoutedServer} from '../node/front/routed-server.ts';
 import {LineBudget} from '../node/logging/line-budget.ts';
 import {type LogControl, type Logger} from '../node/logging/types.ts';
 import {type Metrics} from '../node/metrics/types.ts';
@@ -36,13 +36,13 @@
 	readonly metrics: Metrics;
 	readonly entryVm: EntryVm<RegistryFleet>;
 	readonly loop: DeciderLoop<EntryVmEvent, EntryVmEffect>;
-	readonly callCarrier: CallCarrier;
+	readonly callCarrier: CallEffectExecutor;
 	readonly storeCarrier: StoreCarrier;
 	readonly connections: BackendConnections;
 	readonly routedServer: RoutedServer;
 	readonly readinessServer: PageServer;
 	/** Ends when this VM serves. */
-	readonly hold: StartingHold;
+	readonly hold: ReadinessGate;
 	readonly directoryServer: PageServer;
 	readonly feedServer: FeedServer;
 	readonly metricsServer: PageServer;
@@ -93,7 +93,7 @@
 		this._register(parts.routedServer.onAnswerCut(cut => {
 			this._logCut(cut);
 		}));
-		this._register(parts.routedServer.onTurnedAway(() => {
+		this._register(parts.routedServer.onCallRefusedAtStop(() => {
 			this._stopReport.noteRefusal();
 		}));
 	}
@@ -182,12 +182,12 @@
 		this._stopReport.enter(stage, this._parts.clock.now());
 		this._parts.routedServer.enter(stage);
 		if (stage !== 'starting') {
-			this._parts.hold.end();
+			this._parts.hold.open();
 		}
 
 		if (stage === 'leaving' || stage === 'draining') {
 			for (const pages of this._pageServers) {
-				pages.leave();
+				pages.disableKeepAlive();
 			}
 		}
 
@@ -247,7 +247,7 @@
 	}
 
 	/** A call that ended well may still be cut on its way out; this line is what tells of it. */
-	private _logCut({closedBy, ...cut}: CutCall): void {
+	private _logCut({closedBy, ...cut}: CutAnswerReport): void {
 		const {logger, clock, metrics} = this._parts;
 		metrics.answerCut(closedBy);
 		if (closedBy === 'here') {
--- a/src/daemon/entry-wiring.ts
+++ b/src/daemon/entry-wiring.ts
@@ -10,8 +10,8 @@
 import {type RoutedDialect} from '../common/protocol/dialect.ts';
 import {seededRandom} from '../common/random/random.ts';
 import {RegistryFleet} from '../common/registry/registry-fleet.ts';
-import {type DocumentReader, type RegistrySettings, type StoreLayout} from '../common/registry/types.ts';
-import {memberHeartbeatMilliseconds} from '../common/registry/vm-loss-budget.ts';
+import {type DocumentCodec, type RegistrySettings, type StoreLayout} from '../common/registry/types.ts';
+import {defaultMemberHeartbeatMilliseconds} from '../common/registry/vm-loss-budget.ts';
 import {RouteTable} from '../common/routing/route-table.ts';
 import {type EntrySettings} from '../common/settings/entry-settings.ts';
 import {ProcessClock} from '../node/clock.ts';
@@ -24,16 +24,16 @@
 import {VmProbeClient} from '../node/fleet/vm-probe-client.ts';
 import {type PlatformClient} from '../node/fleet/types.ts';
 import {BackendConnections} from '../node/front/backend-connections.ts';
-import {CallCarrier} from '../node/front/call-carrier.ts';
-import {LoadMeasurer} from '../node/front/load-measurer.ts';
+import {CallEffectExecutor} from '../node/front/call-effect-executor.ts';
+import {HttpLoadProbeClient} from '../node/front/http-load-probe-client.ts';
 import {type Page, PageServer} from '../node/front/page-server.ts';
 import {RoutedServer} from '../node/front/routed-server.ts';
-import {StartingHold} from '../node/front/starting-hold.ts';
+import {ReadinessGate} from '../node/front/readiness-gate.ts';
 import {type Logging} from '../node/logging/logging.ts';
 import {CountedMeasurer, CountedPlatformClient} from '../node/metrics/counted-parts.ts';
 import {PageMetrics} from '../node/metrics/page-metrics.ts';
 import {EntryDaemon} from './entry-daemon.ts';
-import {freshIdentity, type Hashes} from './identity.ts';
+import {newIdentity, type Hashes} from './identity.ts';
 
 /** Opening a connection takes about 1 ms, and 3 ms to another data centre; a tenth of a call's time is lost with one that hangs. */
 const connectMilliseconds = 300;
@@ -59,7 +59,7 @@
 /** What the platform brings: its store, its documents, its way of speaking. */
 export type PlatformParts = {
 	readonly store: PlatformClient & {dispose(): void};
-	readonly documents: DocumentReader;
+	readonly documents: DocumentCodec;
 	readonly layout: StoreLayout;
 	readonly dialect: RoutedDialect;
 	/** Statuses that callers read as "has not run". */
@@ -73,9 +73,9 @@
 };
 
 /** An answer that waits for the VM to be ready, if it is just starting. */
-async function held<Answer>(hold: StartingHold, make: () => Answer): Promise<Answer> {
+async function held<Answer>(readinessGate: ReadinessGate, make: () => Answer): Promise<Answer> {
 	return new Promise(resolve => {
-		hold.pass(() => {
+		readinessGate.whenReady(() => {
 			resolve(make());
 		});
 	});
@@ -87,18 +87,18 @@
 
 function registrySettings(settings: EntrySettings, layout: StoreLayout): RegistrySettings {
 	return {
-		identity: freshIdentity(),
+		identity: newIdentity(),
 		own: {
 			callAddress: settings.listen.callers, peerAddress: settings.listen.peers, dataCentre: settings.vm.dataCentre, linkMegabits: settings.vm.linkMegabits,
 		},
 		layout,
 		leaseMilliseconds: settings.store.leaseSeconds * 1000,
-		memberBeatMilliseconds: memberHeartbeatMilliseconds,
+		memberHeartbeatMilliseconds: defaultMemberHeartbeatMilliseconds,
 		watchPauseMilliseconds: settings.store.convergeSeconds * 1000 * watchPausePart,
 		convergeMilliseconds: settings.store.convergeSeconds * 1000,
 		seeds: settings.seeds,
 		heartbeatMilliseconds: settings.store.heartbeatSeconds * 1000,
-		answerKeepMilliseconds: settings.directory.keepForSeconds * 1000,
+		addressTtlMilliseconds: settings.directory.keepForSeconds * 1000,
 		graceMilliseconds: settings.stop.graceSeconds * 1000,
 	};
 }
@@ -124,10 +124,10 @@
 	const vmProbeClient = owned.add(new VmProbeClient(loop));
 	const feedServer = owned.add(new FeedServer(metrics, {whole: () => fleet.feed(clock.now()), isServing: identity => fleet.isServing(identity)}, loop));
 	const connections = owned.add(new BackendConnections({connectMilliseconds, idleMilliseconds: backendIdleMilliseconds}));
-	const callCarrier = owned.add(new CallCarrier(loop, new CountedMeasurer(new LoadMeasurer(connections, platform.dialect), metrics), noKeys));
-	const hold = owned.add(new StartingHold());
+	const callCarrier = owned.add(new CallEffectExecutor(loop, new CountedMeasurer(new HttpLoadProbeClient(connections, platform.dialect), metrics), noKeys));
+	const readinessGate = owned.add(new ReadinessGate());
 	const routedServer = owned.add(new RoutedServer({
-		sink: loop, calls: callCarrier, connections, dialect: platform.dialect, routes: new RouteTable(random), fingerprint: hashes.fingerprint, hold,
+		sink: loop, calls: callCarrier, connections, dialect: platform.dialect, routes: new RouteTable(random), fingerprint: hashes.fingerprint, readinessGate,
 	}, {
 		keptBodyBytes: settings.calls.replayBytes, connections: settings.calls.connections, stallMilliseconds,
 	}));
@@ -135,14 +135,14 @@
 		const isReady = fleet.status(clock.now()).stage === 'serving';
 		return url === platform.readinessPath ? {status: isReady ? 200 : 503} : undefined;
 	}, pageIdleMilliseconds));
-	const directoryServer = owned.add(new PageServer(async url => held(hold, () => platform.directoryPage(url, (service, dataCentre) => {
+	const directoryServer = owned.add(new PageServer(async url => held(readinessGate, () => platform.directoryPage(url, (service, dataCentre) => {
 		const {addresses, keepForMilliseconds} = fleet.addresses(service, dataCentre);
 		return {addresses: addresses.map(({address}) => address), keepForMilliseconds};
 	})), pageIdleMilliseconds));
 	const metricsServer = owned.add(new PageServer(async url => url === metricsPath ? metricsPage(metrics) : undefined, pageIdleMilliseconds));
 	loop.setCarrier(effect => {
 		if (isCallEffect(effect)) {
-			callCarrier.carryOut(effect);
+			callCarrier.execute(effect);
 			return;
 		}
 
@@ -186,7 +186,7 @@
 		routedServer,
 		readinessServer,
 		directoryServer,
-		hold,
+		hold: readinessGate,
 		feedServer,
 		metricsServer,
 		listeners: platform.listeners ?? new Map(),
--- a/src/daemon/fleet-gateway.ts
+++ b/src/daemon/fleet-gateway.ts
@@ -16,7 +16,7 @@
 import {type Clock} from '../node/clock.ts';
 import {type FleetCarrier} from '../node/fleet/fleet-carrier.ts';
 import {type LogControl, type Logger} from '../node/logging/types.ts';
-import {freshIdentity} from './identity.ts';
+import {newIdentity} from './identity.ts';
 
 /** What the gateway answers from. */
 export type GatewayParts = {
@@ -89,7 +89,7 @@
 			when: this._parts.wallClock().toISOString(),
 			mutations: request.mutations.map(mutation => mutation.type === 'put'
 				? {
-					type: 'put', resource: mutation.resource, expectedVersion: mutation.expected, freshIdentity: freshIdentity(),
+					type: 'put', resource: mutation.resource, expectedVersion: mutation.expected, newResourceIdentity: newIdentity(),
 				}
 				: {type: 'delete', key: mutation.key, expectedVersion: mutation.expected}),
 		});
--- a/src/daemon/identity.ts
+++ b/src/daemon/identity.ts
@@ -5,7 +5,7 @@
 const identityBytes = 16;
 
 /** 128 random bits in base64url: never made twice, so it tells a process or resource from its successor. */
-export function freshIdentity(): string {
+export function newIdentity(): string {
 	return entropyBytes(identityBytes).toString('base64url');
 }
 
--- a/src/daemon/wiring.ts
+++ b/src/daemon/wiring.ts
@@ -21,9 +21,9 @@
 import {entropySeed} from '../node/entropy.ts';
 import {FleetCarrier} from '../node/fleet/fleet-carrier.ts';
 import {BackendConnections} from '../node/front/backend-connections.ts';
-import {CallCarrier} from '../node/front/call-carrier.ts';
-import {type AddressAnswer, CallerServer} from '../node/front/caller-server.ts';
-import {LoadMeasurer} from '../node/front/load-measurer.ts';
+import {CallEffectExecutor} from '../node/front/call-effect-executor.ts';
+import {type AddressList, CallerServer} from '../node/front/caller-server.ts';
+import {HttpLoadProbeClient} from '../node/front/http-load-probe-client.ts';
 import {StoreKeyClaimer} from '../node/front/store-key-claimer.ts';
 import {type Logging} from '../node/logging/logging.ts';
 import {type Logger} from '../node/logging/types.ts';
@@ -41,7 +41,7 @@
 import {BurnReporter} from './burn-reporter.ts';
 import {Daemon} from './daemon.ts';
 import {FleetGateway} from './fleet-gateway.ts';
-import {freshIdentity, type Hashes} from './identity.ts';
+import {newIdentity, type Hashes} from './identity.ts';
 import {PauseWatch} from './pause-watch.ts';
 
 /** Time for a new connection to a backend server: 1 ms is usual, a lost packet costs 1 s more. */
@@ -60,7 +60,7 @@
 const callerIdleMilliseconds = 60_000;
 
 /** Number of VMs that carry one service at least: two may fail, and the answers still spread. */
-const smallestSubset = 16;
+const minSubsetSize = 16;
 
 function joinAddress(address: string, port: number): string {
 	return address.includes(':') ? `[${address}]:${port}` : `${address}:${port}`;
@@ -71,7 +71,7 @@
 	return {address: text.slice(0, colon).replaceAll(/[\[\]]/gv, ''), port: Number(text.slice(colon + 1))};
 }
 
-function toCallerAnswer(answer: FleetAnswer): AddressAnswer | undefined {
+function toCallerAnswer(answer: FleetAnswer): AddressList | undefined {
 	if (answer.addresses.length === 0) {
 		return undefined;
 	}
@@ -90,8 +90,8 @@
 		defaultPeerPort: settings.peers.port,
 		shareSlots: settings.shares.slots,
 		shareLeaseMilliseconds: settings.shares.leaseMilliseconds,
-		answerKeepMilliseconds: settings.answers.keepForMilliseconds,
-		smallestSubset,
+		addressTtlMilliseconds: settings.answers.keepForMilliseconds,
+		minSubsetSize,
 	};
 }
 
@@ -129,7 +129,7 @@
 		}))
 		: noMetrics;
 	return {
-		settings, owned, clock: new ProcessClock(), logging, logger, hashes, metrics, identity: freshIdentity(),
+		settings, owned, clock: new ProcessClock(), logging, logger, hashes, metrics, identity: newIdentity(),
 	};
 }
 
@@ -161,9 +161,9 @@
 /** The path of a call: callers' listener, attempts, measuring, claims of keys. */
 function makeFront({settings, owned, clock, hashes, metrics, identity}: Base, {entryVm, loop}: Deciders, {platform}: Outside) {
 	const connections = owned.add(new BackendConnections({connectMilliseconds, idleMilliseconds: backendIdleMilliseconds}));
-	const measurer = new CountedMeasurer(new LoadMeasurer(connections, new JaydaleDialect()), metrics);
+	const measurer = new CountedMeasurer(new HttpLoadProbeClient(connections, new JaydaleDialect()), metrics);
 	const keyClaimer = new StoreKeyClaimer(platform, clock, identity, hashes.digest);
-	const callCarrier = owned.add(new CallCarrier(loop, measurer, keyClaimer));
+	const callCarrier = owned.add(new CallEffectExecutor(loop, measurer, keyClaimer));
 	const callerServer = owned.add(new CallerServer({
 		sink: loop,
 		calls: callCarrier,
@@ -242,7 +242,7 @@
 	const pauseWatch = base.owned.add(new PauseWatch(base.clock, () => Date.now()));
 	deciders.loop.setCarrier(effect => {
 		if (isCallEffect(effect)) {
-			front.callCarrier.carryOut(effect);
+			front.callCarrier.execute(effect);
 		} else {
 			fleetCarrier.carryOut(effect);
 		}
--- a/src/node/early-listener.test.ts
+++ b/src/node/early-listener.test.ts
@@ -4,7 +4,7 @@
 import {DisposableStore, toDisposable} from '../common/lifecycle/disposable.ts';
 import {freePorts} from '../stand-ins/free-ports.ts';
 import {EarlyListener} from './early-listener.ts';
-import {StartingHold} from './front/starting-hold.ts';
+import {ReadinessGate} from './front/readiness-gate.ts';
 import {listenOn} from './listening.ts';
 
 describe('a listener that is open before its server is there', () => {
@@ -54,21 +54,21 @@
 describe('the hold of a VM that is starting', () => {
 	// Guards callers against a refusal a moment before the VM has read its configuration.
 	it('keeps those who come until it ends, and nobody afterwards', () => {
-		const hold = new StartingHold();
+		const hold = new ReadinessGate();
 		const seen: string[] = [];
-		hold.pass(() => seen.push('kept'));
+		hold.whenReady(() => seen.push('kept'));
 		const before = seen.length;
-		hold.end();
-		hold.pass(() => seen.push('at once'));
+		hold.open();
+		hold.whenReady(() => seen.push('at once'));
 		expect([before, seen]).toEqual([0, ['kept', 'at once']]);
 		hold.dispose();
 	});
 
 	// Guards callers against being held while no configuration comes.
 	it('lets everybody go after a fifth of a second', async () => {
-		const hold = new StartingHold();
+		const hold = new ReadinessGate();
 		await new Promise<void>(resolve => {
-			hold.pass(resolve);
+			hold.whenReady(resolve);
 		});
 		hold.dispose();
 	});
--- a/src/node/front/call-carrier.ts
+++ b/src/node/front/call-effect-executor.ts
@@ -9,8 +9,8 @@
 import {type CallEventSink} from './types.ts';
 
 /** Sends a load probe; the result is fed to the sink as a `measured` event. */
-export type Measurer = {
-	measure(effect: CallEffect & {type: 'measure'}, sink: CallEventSink): void;
+export type LoadProbeClient = {
+	probe(effect: CallEffect & {type: 'measure'}, sink: CallEventSink): void;
 };
 
 /** Claims idempotency keys; the result is fed to the sink as a `key-claimed` event. */
@@ -26,9 +26,9 @@
 export type RateLimitChanged = CallEffect & {type: 'rate-limit-changed'};
 
 /** Holds the active calls of this VM and dispatches each effect to its call, the load prober or the key claimer. */
-export class CallCarrier extends Disposable {
+export class CallEffectExecutor extends Disposable {
 	private readonly _sink: CallEventSink;
-	private readonly _loadProber: Measurer;
+	private readonly _loadProber: LoadProbeClient;
 	private readonly _keyClaimer: KeyClaimer;
 	private readonly _calls = new Map<CallId, LiveCall>();
 	private readonly _callIdByAttemptId = new Map<number, CallId>();
@@ -41,7 +41,7 @@
 	/** Fires if a backend server announces a new rate limit or removes its rate limit. */
 	readonly onRateLimitChanged = this._onRateLimitChanged.event;
 
-	constructor(sink: CallEventSink, loadProber: Measurer, keyClaimer: KeyClaimer) {
+	constructor(sink: CallEventSink, loadProber: LoadProbeClient, keyClaimer: KeyClaimer) {
 		super();
 		this._sink = sink;
 		this._loadProber = loadProber;
@@ -55,7 +55,7 @@
 	}
 
 	/** Executes one effect of the call engine. */
-	carryOut(effect: OuterCallEffect): void {
+	execute(effect: OuterCallEffect): void {
 		switch (effect.type) {
 			case 'start-attempt': {
 				this._callIdByAttemptId.set(effect.attemptId, effect.callId);
@@ -100,7 +100,7 @@
 	private _executeOther(effect: OuterCallEffect & {type: 'measure' | 'claim-key' | 'release-key' | 'rate-limit-changed'}): void {
 		switch (effect.type) {
 			case 'measure': {
-				this._loadProber.measure(effect, this._sink);
+				this._loadProber.probe(effect, this._sink);
 				break;
 			}
 
--- a/src/node/front/caller-server.ts
+++ b/src/node/front/caller-server.ts
@@ -15,7 +15,7 @@
 import {JaydaleDialect} from '../../common/protocol/jaydale-dialect.ts';
 import {continueTrace} from '../logging/trace-context.ts';
 import {type BackendConnections} from './backend-connections.ts';
-import {type CallCarrier} from './call-carrier.ts';
+import {type CallEffectExecutor} from './call-effect-executor.ts';
 import {type CutAnswer, GracefulServer} from './graceful-server.ts';
 import {IncompleteCalls} from './incomplete-calls.ts';
 import {LiveCall} from './live-call.ts';
@@ -23,7 +23,7 @@
 import {type CallEventSink} from './types.ts';
 
 /** The VMs that callers of a service should use, with weights relative to each other. */
-export type AddressAnswer = {
+export type AddressList = {
 	readonly vms: ReadonlyArray<{readonly address: string; readonly port: number; readonly weight: number}>;
 	/** Time for which a caller may cache the list. */
 	readonly keepForMilliseconds: Milliseconds;
@@ -32,9 +32,9 @@
 /** Dependencies of the listener. */
 export type CallerServerDependencies = {
 	readonly sink: CallEventSink;
-	readonly calls: CallCarrier;
+	readonly calls: CallEffectExecutor;
 	readonly connections: BackendConnections;
-	readonly addresses: (service: string) => AddressAnswer | undefined;
+	readonly addresses: (service: string) => AddressList | undefined;
 	/** Returns a 64-bit digest of a call's method, path and buffered start of the body. */
 	readonly fingerprint: (method: string, path: string, body: Uint8Array) => string;
 };
--- a/src/node/front/held-answer.ts
+++ b/src/node/front/held-answer.ts
@@ -1,12 +1,12 @@
 /** Buffers an answer until it is complete or exceeds the buffer limit. */
-import {type AnswerReading} from '../../common/protocol/dialect.ts';
+import {type ParsedAnswerHead} from '../../common/protocol/dialect.ts';
 
 /**
  * Protects callers from truncated answers. Once the head is sent to the caller, a failure of the backend server can only
  * truncate the answer. While the answer is buffered, an idempotent call can still be retried on another backend server.
  */
 export class HeldAnswer {
-	readonly parsedHead: AnswerReading;
+	readonly parsedHead: ParsedAnswerHead;
 	/** The last byte has been received. */
 	isComplete = false;
 	private readonly _maxBytes: number;
@@ -14,7 +14,7 @@
 	private _bytes = 0;
 
 	/** `maxBytes`: size of the buffer. */
-	constructor(maxBytes: number, parsedHead: AnswerReading) {
+	constructor(maxBytes: number, parsedHead: ParsedAnswerHead) {
 		this._maxBytes = maxBytes;
 		this.parsedHead = parsedHead;
 	}
--- a/src/node/front/load-measurer.ts
+++ b/src/node/front/http-load-probe-client.ts
@@ -4,7 +4,7 @@
 import {type CallEffect, type LoadReport} from '../../common/calls/types.ts';
 import {type Dialect} from '../../common/protocol/dialect.ts';
 import {type BackendConnections} from './backend-connections.ts';
-import {type Measurer} from './call-carrier.ts';
+import {type LoadProbeClient} from './call-effect-executor.ts';
 import {type CallEventSink} from './types.ts';
 
 type ProbeEffect = CallEffect & {type: 'measure'};
@@ -89,7 +89,7 @@
 }
 
 /** Sends load probes on the connection pools that calls use, so that no further connections are needed. */
-export class LoadMeasurer implements Measurer {
+export class HttpLoadProbeClient implements LoadProbeClient {
 	private readonly _connections: BackendConnections;
 	private readonly _dialect: Dialect;
 
@@ -98,10 +98,10 @@
 		this._dialect = dialect;
 	}
 
-	measure(effect: ProbeEffect, sink: CallEventSink): void {
-		const {measurementId, identity, path, timeoutMilliseconds} = effect;
-		const loadProbe = new LoadProbe(Math.ceil(timeoutMilliseconds), (status, headers, body) => this._dialect.readMeasurement(identity, status, headers, body), report => {
-			sink.feed({type: 'measured', measurementId, report});
+	probe(effect: ProbeEffect, sink: CallEventSink): void {
+		const {loadProbeId, identity, path, timeoutMilliseconds} = effect;
+		const loadProbe = new LoadProbe(Math.ceil(timeoutMilliseconds), (status, headers, body) => this._dialect.parseLoadProbe(identity, status, headers, body), report => {
+			sink.feed({type: 'measured', loadProbeId, report});
 		});
 		this._connections.pool(effect).dispatch({
 			method: 'GET', path, headers: [], idempotent: false,
--- a/src/node/front/live-call.ts
+++ b/src/node/front/live-call.ts
@@ -4,7 +4,7 @@
 	type AttemptFailure, type CallEffect, type CallId, type CallOutcome, type CallRequest,
 } from '../../common/calls/types.ts';
 import {type Milliseconds} from '../../common/model/units.ts';
-import {type AnswerReading, type Dialect} from '../../common/protocol/dialect.ts';
+import {type ParsedAnswerHead, type Dialect} from '../../common/protocol/dialect.ts';
 import {type BackendConnections} from './backend-connections.ts';
 import {BackendAttempt} from './backend-attempt.ts';
 import {HeldAnswer} from './held-answer.ts';
@@ -184,8 +184,8 @@
 	}
 
 	onHead(attempt: BackendAttempt, head: AnswerHead): void {
-		const parsedHead = this._dialect.readAnswer(head.status, head.headers, this._incoming.headers);
-		if (!parsedHead.isOwn) {
+		const parsedHead = this._dialect.parseAnswerHead(head.status, head.headers, this._incoming.headers);
+		if (!parsedHead.isForThisCall) {
 			// Closes the connection as well: further bytes on it may belong to any other call.
 			attempt.cancel();
 			this.onFailure(attempt, 'wrong-answer');
@@ -313,7 +313,7 @@
 		this._outgoing.shouldKeepAlive = false;
 	}
 
-	private _reportHead(attempt: BackendAttempt, head: AnswerHead, parsedHead: AnswerReading): void {
+	private _reportHead(attempt: BackendAttempt, head: AnswerHead, parsedHead: ParsedAnswerHead): void {
 		const {etag} = head.headers;
 		this._sink.feed({
 			type: 'attempt-head',
--- a/src/node/front/page-server.ts
+++ b/src/node/front/page-server.ts
@@ -44,7 +44,7 @@
 	}
 
 	/** Closes each connection after its current answer, so that no connection is idle when the process exits. */
-	leave(): void {
+	disableKeepAlive(): void {
 		this._server.disableKeepAlive();
 	}
 
--- a/src/node/front/starting-hold.ts
+++ b/src/node/front/readiness-gate.ts
@@ -9,7 +9,7 @@
  */
 const maxHoldMilliseconds: Milliseconds = 200;
 
-export class StartingHold extends Disposable {
+export class ReadinessGate extends Disposable {
 	private readonly _waiting = new Set<() => void>();
 	private _isOpen = false;
 
@@ -21,7 +21,7 @@
 	}
 
 	/** Runs the continuation once the gate is open, and after `maxHoldMilliseconds` at the latest. */
-	pass(continuation: () => void): void {
+	whenReady(continuation: () => void): void {
 		if (this._isOpen) {
 			continuation();
 			return;
@@ -39,7 +39,7 @@
 	}
 
 	/** Opens the gate: runs all waiting continuations, and later ones without delay. */
-	end(): void {
+	open(): void {
 		this._isOpen = true;
 		for (const release of this._waiting) {
 			release();
--- a/src/node/front/routed-server.ts
+++ b/src/node/front/routed-server.ts
@@ -13,26 +13,26 @@
 import {type EarlyListener} from '../early-listener.ts';
 import {listenOn} from '../listening.ts';
 import {type BackendConnections} from './backend-connections.ts';
-import {type CallCarrier} from './call-carrier.ts';
+import {type CallEffectExecutor} from './call-effect-executor.ts';
 import {closeListener} from './close-listener.ts';
 import {type CutAnswer, GracefulServer} from './graceful-server.ts';
 import {IncompleteCalls} from './incomplete-calls.ts';
 import {LiveCall} from './live-call.ts';
 import {RequestBody} from './request-body.ts';
-import {type StartingHold} from './starting-hold.ts';
+import {type ReadinessGate} from './readiness-gate.ts';
 import {type CallEventSink} from './types.ts';
 
 /** Dependencies of the listener. */
 export type RoutedServerDependencies = {
 	readonly sink: CallEventSink;
-	readonly calls: CallCarrier;
+	readonly calls: CallEffectExecutor;
 	readonly connections: BackendConnections;
 	readonly dialect: RoutedDialect;
 	readonly routes: RouteTable;
 	/** Returns a 64-bit digest of a call's method, path and buffered start of the body. */
 	readonly fingerprint: (method: string, path: string, body: Uint8Array) => string;
 	/** Delays calls that arrive before the first routes are configured. */
-	readonly hold: StartingHold;
+	readonly readinessGate: ReadinessGate;
 };
 
 /** Limits that are not part of the operators' routing configuration. */
@@ -63,7 +63,7 @@
 const maxCloseMilliseconds: Milliseconds = 100;
 
 /** An answer that was cut, with the fields that its log line needs. */
-export type CutCall = Omit<CutAnswer, 'incoming'> & {readonly traceId: string; readonly stage: FleetStage};
+export type CutAnswerReport = Omit<CutAnswer, 'incoming'> & {readonly traceId: string; readonly stage: FleetStage};
 
 /** A refusal that is sent before a call reaches the call engine. */
 type EarlyAnswer = {readonly status: number; readonly reason: RefusalReason; readonly retryAfterMilliseconds?: Milliseconds};
@@ -78,7 +78,7 @@
 	private readonly _dependencies: RoutedServerDependencies;
 	private readonly _limits: RoutedServerLimits;
 	private readonly _server: GracefulServer;
-	private readonly _onAnswerCut = this._register(new Emitter<CutCall>());
+	private readonly _onAnswerCut = this._register(new Emitter<CutAnswerReport>());
 	private readonly _onCallRefusedAtStop = this._register(new Emitter<void>());
 	private _callerLimits = initialCallerLimits;
 	private _stage: FleetStage = 'starting';
@@ -90,7 +90,7 @@
 	readonly onAnswerCut = this._onAnswerCut.event;
 
 	/** Fires if a call is refused because the VM is stopping. */
-	readonly onTurnedAway = this._onCallRefusedAtStop.event;
+	readonly onCallRefusedAtStop = this._onCallRefusedAtStop.event;
 
 	constructor(dependencies: RoutedServerDependencies, limits: RoutedServerLimits) {
 		super();
@@ -107,7 +107,7 @@
 		}));
 		this._server.maxConnections = limits.connections;
 		this._register(this._server.onCut(({incoming, ...cut}) => {
-			this._onAnswerCut.fire({...cut, traceId: dependencies.dialect.readRequest(incoming.headers).traceId, stage: this._stage});
+			this._onAnswerCut.fire({...cut, traceId: dependencies.dialect.parseRequestHead(incoming.headers).traceId, stage: this._stage});
 		}));
 	}
 
@@ -159,7 +159,7 @@
 			return;
 		}
 
-		this._dependencies.hold.pass(() => {
+		this._dependencies.readinessGate.whenReady(() => {
 			if (!outgoing.destroyed) {
 				this._route(incoming, outgoing);
 			}
@@ -211,7 +211,7 @@
 		this._lastCallId += 1;
 		const method = incoming.method!;
 		const path = incoming.url!;
-		const {traceId, timeoutMilliseconds} = dialect.readRequest(incoming.headers);
+		const {traceId, timeoutMilliseconds} = dialect.parseRequestHead(incoming.headers);
 		const readMilliseconds = performance.now() - arrivedAt;
 		const request: CallRequest = {
 			callId: this._lastCallId,
--- a/src/node/front/stop-call-moments.test.ts
+++ b/src/node/front/stop-call-cases.test.ts
@@ -3,7 +3,7 @@
 import {
 	answered, largeAnswerBytes, allowedForNextCall, pieceBytes, refused, unanswered,
 } from './stop-outcomes.test.ts';
-import {type StopCase} from './stop-scene.test.ts';
+import {type StopCase} from './stop-case.test.ts';
 import {waitUntil} from './stop-test-utilities.test.ts';
 
 /** More than the buffered size of a body, so that it streams, and less than the body limit of both listeners. */
@@ -136,7 +136,7 @@
 			await caller.send(context.head('GET', 'first'));
 			const call = await context.waitForCall('first');
 			await call?.answer(largeAnswerBytes, 'connection: close');
-			await waitUntil(() => context.target.isOver() || context.target.endedCalls() > 0);
+			await waitUntil(() => context.target.hasEnded() || context.target.endedCalls() > 0);
 			await context.target.stop();
 			caller.resume();
 		},
@@ -150,7 +150,7 @@
 			await caller.sendAndWaitUntilRead(context.head('GET', 'first') + context.head('GET', 'second'));
 			const call = await context.waitForCall('first');
 			await call?.answer(largeAnswerBytes, 'connection: close');
-			await waitUntil(() => context.target.isOver() || context.target.endedCalls() > 0);
+			await waitUntil(() => context.target.hasEnded() || context.target.endedCalls() > 0);
 			await context.target.stop();
 			caller.resume();
 			await context.answer('second');
--- a/src/node/front/stop-moments-table.test.ts
+++ b/src/node/front/stop-case-table.test.ts
@@ -6,11 +6,11 @@
  * - A connection ends without an answer only if no call on it was read completely.
  * - After an answer with `connection: close`, the caller expects no further answer.
  */
-import {callStopCases} from './stop-call-moments.test.ts';
-import {connectionStopCases} from './stop-connection-moments.test.ts';
-import {type StopCase} from './stop-scene.test.ts';
+import {callStopCases} from './stop-call-cases.test.ts';
+import {connectionStopCases} from './stop-connection-cases.test.ts';
+import {type StopCase} from './stop-case.test.ts';
 
-export {unansweredStopCases as lastMoments} from './stop-connection-moments.test.ts';
+export {unansweredStopCases as lastMoments} from './stop-connection-cases.test.ts';
 
 /** Stop cases that apply to both listeners. */
-export const moments: readonly StopCase[] = [...callStopCases, ...connectionStopCases];
+export const stopCases: readonly StopCase[] = [...callStopCases, ...connectionStopCases];
--- a/src/node/front/stop-scene.test.ts
+++ b/src/node/front/stop-case.test.ts
@@ -5,23 +5,23 @@
 } from './stop-test-utilities.test.ts';
 
 /** The VM or listener to be stopped, with one backend server behind it. */
-export type Listener = {
+export type StopTarget = {
 	readonly port: number;
 	/** Path prefix of all calls; the name of the call follows it. */
-	readonly prefix: string;
+	readonly pathPrefix: string;
 	/** Number of calls that are sent to the backend server concurrently before it has answered any. */
-	readonly places: number;
+	readonly initialConcurrency: number;
 	/** Returns the number of calls that the engine has completed. */
 	readonly endedCalls: () => number;
 	/** Starts the planned stop; resolves once the stage under test is entered. */
 	readonly stop: () => Promise<void>;
 	/** Continues to the last stage; resolves once the VM has ended and its sockets are closed. */
 	readonly finish: () => Promise<void>;
-	readonly isOver: () => boolean;
+	readonly hasEnded: () => boolean;
 };
 
 /** Starts a target whose backend server listens on this port. */
-export type StartStopTarget = (owned: DisposableStore, backendPort: number) => Promise<Listener>;
+export type StartStopTarget = (owned: DisposableStore, backendPort: number) => Promise<StopTarget>;
 
 /** The target, backend server and callers of one stop case. */
 export class StopCaseContext extends Disposable {
@@ -29,9 +29,9 @@
 	readonly callers: RawCaller[] = [];
 	readonly tracker = this._register(new ConnectionTracker());
 	private readonly _owned = this._register(new DisposableStore());
-	private _target: Listener | undefined;
+	private _target: StopTarget | undefined;
 
-	get target(): Listener {
+	get target(): StopTarget {
 		return this._target!;
 	}
 
@@ -47,12 +47,12 @@
 
 	/** Returns the complete head of a call, including the empty line at its end. */
 	head(method: string, name: string, ...headers: string[]): string {
-		return [`${method} ${this.target.prefix}${name} HTTP/1.1`, 'host: one.example', `request-id: ${name}`, ...headers, '', ''].join('\r\n');
+		return [`${method} ${this.target.pathPrefix}${name} HTTP/1.1`, 'host: one.example', `request-id: ${name}`, ...headers, '', ''].join('\r\n');
 	}
 
 	/** Resolves with a call once the backend server has received it; undefined if the VM ends first. */
 	async waitForCall(name: string): Promise<BackendCall | undefined> {
-		return this.backend.call(name, this.target.isOver);
+		return this.backend.call(name, this.target.hasEnded);
 	}
 
 	async answer(name: string): Promise<void> {
@@ -101,7 +101,7 @@
 const maxConcurrentCases = 6;
 
 /** Starts all cases; `outcomes` receives, by title, a promise of the outcomes that are not allowed. */
-export function playMoments(stopCases: readonly StopCase[], startTarget: StartStopTarget, outcomes: Map<string, Promise<readonly string[]>>): void {
+export function startStopCases(stopCases: readonly StopCase[], startTarget: StartStopTarget, outcomes: Map<string, Promise<readonly string[]>>): void {
 	const results: Array<Promise<readonly string[]>> = [];
 	const runAfter = async (previous: ReadonlyArray<Promise<unknown>>, stopCase: StopCase) => {
 		await Promise.allSettled(previous);
--- a/src/node/front/stop-moments.test.ts
+++ b/src/node/front/stop-cases.test.ts
@@ -2,15 +2,15 @@
 import {expect} from 'earl';
 import {DisposableStore} from '../../common/lifecycle/disposable.ts';
 import {type Milliseconds} from '../../common/model/units.ts';
-import {moments} from './stop-moments-table.test.ts';
-import {type Listener, playMoments} from './stop-scene.test.ts';
+import {stopCases} from './stop-case-table.test.ts';
+import {type StopTarget, startStopCases} from './stop-case.test.ts';
 import {startFrontend} from './test-utilities.test.ts';
 
 /** Simulated grace period of a VM, longer than any call in this test; connections that are still open after it are cut. */
 const graceMilliseconds: Milliseconds = 3000;
 
 /** Starts only the callers' listener. Its planned stop has two steps, which the daemon runs one after the other. */
-async function startCallerServer(owned: DisposableStore, backendPort: number, firstStep: 'closeIdle' | 'stopListening'): Promise<Listener> {
+async function startCallerServer(owned: DisposableStore, backendPort: number, firstStep: 'closeIdle' | 'stopListening'): Promise<StopTarget> {
 	const targetStore = owned.add(new DisposableStore());
 	const {server, ended, url} = await startFrontend(targetStore, [backendPort], {stallMilliseconds: 5000});
 	const killController = new AbortController();
@@ -21,11 +21,11 @@
 
 	return {
 		port: Number(new URL(url).port),
-		prefix: '/services/orders/',
+		pathPrefix: '/services/orders/',
 		// A backend server without a load report so far receives a single trial call.
-		places: 1,
+		initialConcurrency: 1,
 		endedCalls: () => ended.length,
-		isOver: () => killController.signal.aborted,
+		hasEnded: () => killController.signal.aborted,
 		async stop() {
 			server[firstStep]();
 			void delay(graceMilliseconds, undefined, {signal: killController.signal}).then(kill, () => undefined);
@@ -47,11 +47,11 @@
 
 		const outcomes = new Map<string, Promise<readonly string[]>>();
 		before(() => {
-			playMoments(moments, async (owned, port) => startCallerServer(owned, port, firstStep), outcomes);
+			startStopCases(stopCases, async (owned, port) => startCallerServer(owned, port, firstStep), outcomes);
 		});
 
 		// A planned stop must neither lose nor truncate a call, whatever state the call is in.
-		for (const {title} of moments) {
+		for (const {title} of stopCases) {
 			it(title, async () => {
 				expect(await outcomes.get(title)).toEqual([]);
 			});
--- a/src/node/front/stop-connection-moments.test.ts
+++ b/src/node/front/stop-connection-cases.test.ts
@@ -5,7 +5,7 @@
 import {
 	answered, allowedForNextCall, pieceBytes, refused, unanswered,
 } from './stop-outcomes.test.ts';
-import {type StopCase, type StopCaseContext} from './stop-scene.test.ts';
+import {type StopCase, type StopCaseContext} from './stop-case.test.ts';
 import {waitUntil} from './stop-test-utilities.test.ts';
 
 /** Exceeds the body limit of both listeners. */
@@ -24,9 +24,9 @@
 		await caller.sendAndWaitUntilRead(context.head('GET', `first_${index}`));
 	}
 
-	await waitUntil(() => context.backend.ran.length >= context.target.places);
+	await waitUntil(() => context.backend.ran.length >= context.target.initialConcurrency);
 	await delay(settleMilliseconds);
-	expect(context.backend.ran.length).toEqual(context.target.places);
+	expect(context.backend.ran.length).toEqual(context.target.initialConcurrency);
 }
 
 /** Stop cases with queued calls, and with connections between calls. */
--- a/src/node/front/store-key-claimer.ts
+++ b/src/node/front/store-key-claimer.ts
@@ -6,7 +6,7 @@
 import {type Instant, type Milliseconds} from '../../common/model/units.ts';
 import {type Clock} from '../clock.ts';
 import {type PlatformClient} from '../fleet/types.ts';
-import {type KeyClaimer} from './call-carrier.ts';
+import {type KeyClaimer} from './call-effect-executor.ts';
 import {type CallEventSink} from './types.ts';
 
 const keyPrefix = 'jaydale/claims/';
--- a/src/node/front/test-utilities.test.ts
+++ b/src/node/front/test-utilities.test.ts
@@ -10,9 +10,9 @@
 import {ProcessClock} from '../clock.ts';
 import {DeciderLoop} from '../decider-loop.ts';
 import {BackendConnections} from './backend-connections.ts';
-import {CallCarrier} from './call-carrier.ts';
+import {CallEffectExecutor} from './call-effect-executor.ts';
 import {CallerServer, type CallerServerLimits} from './caller-server.ts';
-import {LoadMeasurer} from './load-measurer.ts';
+import {HttpLoadProbeClient} from './http-load-probe-client.ts';
 
 export const limits = {
 	headBytes: 16_384, headMilliseconds: 5000, stallMilliseconds: 300, idleMilliseconds: 5000, bodyBytes: 200_000, keptBodyBytes: 65_536, connections: 100,
@@ -28,10 +28,10 @@
 	const connections = store.add(new BackendConnections({connectMilliseconds: 1000, idleMilliseconds: 5000}));
 	const engine = new DefaultCallEngine({random: seededRandom(1), settings: {dataCentre: 'north'}});
 	const loop = store.add(new DeciderLoop(engine, new ProcessClock()));
-	const calls = store.add(new CallCarrier(loop, new LoadMeasurer(connections, new JaydaleDialect()), unusedKeyClaimer));
+	const calls = store.add(new CallEffectExecutor(loop, new HttpLoadProbeClient(connections, new JaydaleDialect()), unusedKeyClaimer));
 	loop.setCarrier(effect => {
 		if (effect.type !== 'tell-peers') {
-			calls.carryOut(effect);
+			calls.execute(effect);
 		}
 	});
 	const server = store.add(new CallerServer({
--- a/src/node/metrics/counted-parts.ts
+++ b/src/node/metrics/counted-parts.ts
@@ -3,7 +3,7 @@
 import {type StoreOperation, type StoreReply} from '../../common/platform/types.ts';
 import {type Clock} from '../clock.ts';
 import {type PlatformClient} from '../fleet/types.ts';
-import {type Measurer} from '../front/call-carrier.ts';
+import {type LoadProbeClient} from '../front/call-effect-executor.ts';
 import {type CallEventSink} from '../front/types.ts';
 import {type Metrics} from './types.ts';
 
@@ -35,17 +35,17 @@
 }
 
 /** Counts measuring calls by service. */
-export class CountedMeasurer implements Measurer {
-	private readonly _measurer: Measurer;
+export class CountedMeasurer implements LoadProbeClient {
+	private readonly _measurer: LoadProbeClient;
 	private readonly _metrics: Metrics;
 
-	constructor(measurer: Measurer, metrics: Metrics) {
+	constructor(measurer: LoadProbeClient, metrics: Metrics) {
 		this._measurer = measurer;
 		this._metrics = metrics;
 	}
 
-	measure(effect: CallEffect & {type: 'measure'}, sink: CallEventSink): void {
+	probe(effect: CallEffect & {type: 'measure'}, sink: CallEventSink): void {
 		this._metrics.measured(effect.service);
-		this._measurer.measure(effect, sink);
+		this._measurer.probe(effect, sink);
 	}
 }
--- a/src/proof/bad-input.test.ts
+++ b/src/proof/bad-input.test.ts
@@ -14,9 +14,9 @@
 import {ProcessClock} from '../node/clock.ts';
 import {DeciderLoop} from '../node/decider-loop.ts';
 import {BackendConnections} from '../node/front/backend-connections.ts';
-import {CallCarrier} from '../node/front/call-carrier.ts';
+import {CallEffectExecutor} from '../node/front/call-effect-executor.ts';
 import {CallerServer} from '../node/front/caller-server.ts';
-import {LoadMeasurer} from '../node/front/load-measurer.ts';
+import {HttpLoadProbeClient} from '../node/front/http-load-probe-client.ts';
 import {toldFromWire} from '../node/peers/burn-codec.ts';
 import {fromWire} from '../node/peers/peer-codec.ts';
 import {parseToml} from '../node/settings/load-settings.ts';
@@ -58,10 +58,10 @@
 	});
 	const connections = store.add(new BackendConnections({connectMilliseconds: 500, idleMilliseconds: 500, silenceMilliseconds: 300}));
 	const loop = store.add(new DeciderLoop(new DefaultCallEngine({random: seededRandom(1), settings: {dataCentre: 'north'}}), new ProcessClock()));
-	const calls = store.add(new CallCarrier(loop, new LoadMeasurer(connections, new JaydaleDialect()), {claim: () => undefined, release: async () => undefined}));
+	const calls = store.add(new CallEffectExecutor(loop, new HttpLoadProbeClient(connections, new JaydaleDialect()), {claim: () => undefined, release: async () => undefined}));
 	loop.setCarrier(effect => {
 		if (effect.type !== 'tell-peers') {
-			calls.carryOut(effect);
+			calls.execute(effect);
 		}
 	});
 	const listener = store.add(new CallerServer({
--- a/src/proof/fuzz/call-vm.ts
+++ b/src/proof/fuzz/call-vm.ts
@@ -233,7 +233,7 @@
 				this._world.sawLeaving(this, effect.identity, report.instance);
 			}
 
-			this.feed({type: 'measured', measurementId: effect.measurementId, report});
+			this.feed({type: 'measured', loadProbeId: effect.loadProbeId, report});
 		});
 	}
 
--- a/src/proof/fuzz/fake-fleet.ts
+++ b/src/proof/fuzz/fake-fleet.ts
@@ -219,10 +219,10 @@
 				vm.feed({
 					type: 'shares',
 					shares: {
-						measuringPart: 1 / shareSlots,
-						measuringFrom: from + offset,
-						measuringUntil: from + shareTermMilliseconds + offset,
-						connectionPart: 1 / shareSlots,
+						loadProbeFraction: 1 / shareSlots,
+						loadProbesFrom: from + offset,
+						loadProbesUntil: from + shareTermMilliseconds + offset,
+						connectionFraction: 1 / shareSlots,
 						vmCount: this.vms.length,
 					},
 				});
--- a/src/proof/fuzz/fleet-vm.ts
+++ b/src/proof/fuzz/fleet-vm.ts
@@ -250,7 +250,7 @@
 		});
 		const {now} = this;
 		const shares = this._shares;
-		if (shares === undefined || this.isPaused || this.isEnded || now < shares.measuringFrom || now >= shares.measuringUntil) {
+		if (shares === undefined || this.isPaused || this.isEnded || now < shares.loadProbesFrom || now >= shares.loadProbesUntil) {
 			return;
 		}
 
@@ -258,7 +258,7 @@
 			this._spent.shift();
 		}
 
-		const allowed = Math.floor((shares.measuringPart * budgetCalls) + 1e-9);
+		const allowed = Math.floor((shares.loadProbeFraction * budgetCalls) + 1e-9);
 		while (this._spent.length < allowed) {
 			this._spent.push(now);
 			this._world.record({type: 'measured', at: this._world.timeline.now, backendServer: 'measured'});
--- a/src/proof/fuzz/fleet-world.ts
+++ b/src/proof/fuzz/fleet-world.ts
@@ -116,8 +116,8 @@
 			defaultPeerPort: 1,
 			shareSlots,
 			shareLeaseMilliseconds: 6000,
-			answerKeepMilliseconds: 3000,
-			smallestSubset: 16,
+			addressTtlMilliseconds: 3000,
+			minSubsetSize: 16,
 		}, seededRandom(number), hashText);
 		const vm = new FleetVm(name, engine, Math.floor(this._random.next() * 1e6), this._surroundings);
 		this._all.push(vm);
@@ -143,7 +143,7 @@
 			note: '',
 			when: '2026-01-01T00:00:00Z',
 			mutations: resources.map((resource, position) => ({
-				type: 'put', resource, expectedVersion, freshIdentity: `${operationId}-${position}`.padEnd(22, '_'),
+				type: 'put', resource, expectedVersion, newResourceIdentity: `${operationId}-${position}`.padEnd(22, '_'),
 			})),
 		});
 	}
--- a/src/proof/guards/guards.ts
+++ b/src/proof/guards/guards.ts
@@ -13,7 +13,7 @@
 const calls = 'src/common/calls';
 const fleet = 'src/common/fleet';
 const registry = 'src/common/registry';
-const callTests = [`${calls}/{backend,call,crash,measuring,wake}*.test.ts`, 'src/proof/fuzz/call-fuzz.test.ts'];
+const callTests = [`${calls}/{backend,call,crash,load-probe,wake}*.test.ts`, 'src/proof/fuzz/call-fuzz.test.ts'];
 const fleetTests = [`${fleet}/**/*.test.ts`, 'src/proof/fuzz/fleet-fuzz.test.ts'];
 const frontTests = ['src/node/front/*.test.ts', 'src/proof/bad-input.test.ts'];
 
@@ -78,15 +78,15 @@
 	},
 	{
 		name: 'measuring ends with the share',
-		file: `${calls}/measuring-schedule.ts`,
-		text: 'shares === undefined || now < shares.measuringFrom || now >= shares.measuringUntil',
+		file: `${calls}/load-probe-schedule.ts`,
+		text: 'shares === undefined || now < shares.loadProbesFrom || now >= shares.loadProbesUntil',
 		replacement: 'shares === undefined',
 		tests: callTests,
 	},
 	{
 		name: 'measuring keeps to the budget, whoever asks',
-		file: `${calls}/measuring-schedule.ts`,
-		text: 'allowed === 0 || now < this._lastSentAt + ((budget.windowMilliseconds + measuringTimeout) / allowed)',
+		file: `${calls}/load-probe-schedule.ts`,
+		text: 'allowed === 0 || now < this._lastSentAt + ((budget.windowMilliseconds + loadProbeTimeoutMilliseconds) / allowed)',
 		replacement: 'allowed === 0',
 		tests: callTests,
 	},
@@ -204,7 +204,7 @@
 	},
 	{
 		name: 'a VM that joins hears who leaves',
-		file: `${fleet}/peer-mailbox.ts`,
+		file: `${fleet}/peer-sender.ts`,
 		text: 'body.type === \'members\' || this._isSendingAllSigns',
 		replacement: 'this._isSendingAllSigns',
 		tests: fleetTests,
