--- a/scripts/capacity-page.ts
+++ b/scripts/capacity-page.ts
@@ -12,7 +12,7 @@
 import {historyCharacters, keptCharacters} from '../src/common/fleet/configuration/head.ts';
 import {packageRoot} from '../src/stand-ins/program-files.ts';
 import {
-	loadedPart, Projection, smallestSubset, loadReadsPerSecond, type StoredResults,
+	maxLoadShare, Projection, minSubsetSize, loadReadsPerSecond, type StoredResults,
 } from './capacity-projection.ts';
 
 /** Limits of the target for control on one VM, and for what a call is added. */
@@ -20,12 +20,12 @@
 	coreShare: 0.012, bytes: 128e6, bytesPerSecond: 13_000, changeMilliseconds: 5000, addedMilliseconds: 1.9,
 };
 
-const listSeconds = 5;
+const vmListPollSeconds = 5;
 const headPollSeconds = 30;
-const watchersInDataCentre = 2;
+const watchersPerDataCentre = 2;
 const shardBytes = 450_000;
-const replacedPerDay = 1700;
-const failedPerDay = 48;
+const vmsReplacedPerDay = 1700;
+const vmsFailedPerDay = 48;
 const megabyte = 1e6;
 
 function readResults(): StoredResults {
@@ -38,35 +38,35 @@
 	return [line(header), line(header.map(() => '---')), ...rows.map(row => line(row))].join('\n');
 }
 
-function percent(share: number): string {
+function formatPercent(share: number): string {
 	return `${(share * 100).toPrecision(2)} %`;
 }
 
-function megabytes(bytes: number): string {
+function formatMegabytes(bytes: number): string {
 	return `${(bytes / megabyte).toPrecision(3)} MB`;
 }
 
-function kilobytes(bytes: number): string {
+function formatKilobytesPerSecond(bytes: number): string {
 	return `${(bytes / 1000).toPrecision(3)} KB/s`;
 }
 
-function verdict(value: number, limit: number): string {
-	return value <= limit ? `met (${percent(value / limit)} of it)` : `missed ${(value / limit).toPrecision(2)} times`;
+function formatVerdict(value: number, limit: number): string {
+	return value <= limit ? `met (${formatPercent(value / limit)} of it)` : `missed ${(value / limit).toPrecision(2)} times`;
 }
 
 function size(projection: Projection): string {
-	const saturation = projection.paired('reads, saturation');
+	const saturation = projection.pairedResult('reads, saturation');
 	return table(['quantity', 'formula', 'value'], [
-		['calls a second of one VM', `${loadedPart} × saturation of ${saturation.through.callsPerSecond.toFixed(0)}/s`, projection.rateOfVm.toFixed(0)],
+		['calls a second of one VM', `${maxLoadShare} × saturation of ${saturation.through.callsPerSecond.toFixed(0)}/s`, projection.callsPerSecondPerVm.toFixed(0)],
 		['VMs', `${target.callsPerSecond} / calls a second of one VM`, String(projection.vms)],
-		['services carried by a VM, at least', `${target.services} × ${smallestSubset} / VMs`, projection.carriedServices.toPrecision(3)],
+		['services carried by a VM, at least', `${target.services} × ${minSubsetSize} / VMs`, projection.carriedServices.toPrecision(3)],
 		[
 			'backend servers known to a VM, at least', `services carried × ${target.backendServers} / ${target.services}`, projection.carriedBackendServers.toFixed(0),
 		],
-		['added to a call 21 deep, at p50', '21 × added p50 of one level', `${(21 * projection.paired('reads, 60%').added.p50).toPrecision(3)} ms`],
+		['added to a call 21 deep, at p50', '21 × added p50 of one level', `${(21 * projection.pairedResult('reads, 60%').added.p50).toPrecision(3)} ms`],
 		['slots of fleet-wide budgets', '1.5 × VMs, assumed as today', projection.shareSlots.toFixed(0)],
-		['a slot allows a measuring call to one backend server every', 'slots / (240 calls / 10 s)', `${projection.measuringSeconds.toPrecision(2)} s`],
-		['a slot allows connections to one backend server', '0.8 × 250 / slots', projection.connectionsOfSlot.toPrecision(2)],
+		['a slot allows a measuring call to one backend server every', 'slots / (240 calls / 10 s)', `${projection.measuringIntervalSeconds.toPrecision(2)} s`],
+		['a slot allows connections to one backend server', '0.8 × 250 / slots', projection.connectionsPerSlot.toPrecision(2)],
 		['changes a second', `${target.changesPerDay} / ${daySeconds}`, projection.changesPerSecond.toPrecision(3)],
 	]);
 }
@@ -86,7 +86,7 @@
 			`${result.leastAddedP99.toFixed(2)} ms`,
 			`${result.added.p999.toFixed(2)} ms`,
 			`${result.processorMicrosecondsPerCall.toFixed(0)} µs`,
-			percent(result.waitingShare),
+			formatPercent(result.waitingShare),
 			`${result.garbageCollection.longestMilliseconds.toFixed(1)} ms`,
 		]),
 	);
@@ -95,11 +95,11 @@
 function pathMemory(projection: Projection): string {
 	const {memory} = projection.results.path;
 	return table(['memory of a daemon', 'value'], [
-		['resident, just started', megabytes(memory.startBytes)],
+		['resident, just started', formatMegabytes(memory.startBytes)],
 		['an idle connection of a caller', `${(memory.bytesPerIdleConnection / 1000).toPrecision(2)} KB`],
 		['a paused download', `${(memory.bytesPerPausedDownload / 1000).toPrecision(2)} KB`],
-		['growth while 20 downloads stay paused', megabytes(memory.growthWhilePausedBytes)],
-		...memory.growthInDownloads.map(({answerBytes, growthBytes}) => [`growth while downloads of ${answerBytes / megabyte} MB run, two at a time`, megabytes(growthBytes)]),
+		['growth while 20 downloads stay paused', formatMegabytes(memory.growthWhilePausedBytes)],
+		...memory.growthInDownloads.map(({answerBytes, growthBytes}) => [`growth while downloads of ${answerBytes / megabyte} MB run, two at a time`, formatMegabytes(growthBytes)]),
 	]);
 }
 
@@ -110,53 +110,58 @@
 
 function membershipRows(projection: Projection): string[][] {
 	const {transport} = projection.results.capacity;
-	const {vms, messagesOut} = projection;
+	const {vms, messagesOutPerSecond} = projection;
 	const grpc = `${transport.overheadBytesPerMessage.toFixed(0)} a message for gRPC`;
 	const row = (role: string, line: string, value: string): string[] => [role, line, value, 'the same'];
 	return [
-		row('membership: memory', `${projection.formula('membership.bytes')} bytes`, megabytes(projection.at('membership.bytes', vms))),
-		row('membership: messages out', `${projection.formula('membership.messagesOutPerSecond')} a second`, `${messagesOut.toPrecision(3)}/s`),
-		row('membership, relay of changes: bytes out', `${projection.formula('membership.bytesOutPerSecond')} + ${grpc}`, kilobytes(projection.membershipBytesOut)),
-		row('membership, relay of changes: bytes in', `${projection.formula('membership.bytesInPerSecond')} + ${grpc}`, kilobytes(projection.membershipBytesIn)),
+		row('membership: memory', `${projection.formula('membership.bytes')} bytes`, formatMegabytes(projection.valueAt('membership.bytes', vms))),
+		row('membership: messages out', `${projection.formula('membership.messagesOutPerSecond')} a second`, `${messagesOutPerSecond.toPrecision(3)}/s`),
+		row('membership, relay of changes: bytes out', `${projection.formula('membership.bytesOutPerSecond')} + ${grpc}`, formatKilobytesPerSecond(projection.membershipBytesOutPerSecond)),
+		row('membership, relay of changes: bytes in', `${projection.formula('membership.bytesInPerSecond')} + ${grpc}`, formatKilobytesPerSecond(projection.membershipBytesInPerSecond)),
 		row(
 			'membership: processor',
 			`engine ${projection.formula('membership.engineCoreShare')} cores; gRPC ${transport.processorMicrosecondsPerMessage.toFixed(0)} µs a message`,
-			percent(projection.membershipCore),
+			formatPercent(projection.membershipCoreShare),
 		),
-		row('watcher: bytes in besides', `changes × (${keptCharacters} to ${historyCharacters} bytes of the head)`, kilobytes(projection.watcherBytesPerSecond)),
+		row('watcher: bytes in besides', `changes × (${keptCharacters} to ${historyCharacters} bytes of the head)`, formatKilobytesPerSecond(projection.watcherBytesPerSecond)),
 	];
 }
 
 function configurationRows(projection: Projection): string[][] {
 	const milliseconds = `${projection.formula('configuration.changeMilliseconds')} and ${projection.formula('calls.configureMilliseconds')} ms`;
 	return [
-		costRow(projection, 'configuration: memory', `${projection.formula('configuration.bytes')} bytes`, servers => megabytes(Math.max(0, projection.at('configuration.bytes', servers)))),
-		costRow(projection, 'configuration: processor', `changes × (${milliseconds})`, servers => percent(projection.changeCore(servers))),
-		costRow(projection, 'configuration: a snapshot', `${projection.formula('configuration.snapshotBytes')} bytes`, servers => megabytes(projection.at('configuration.snapshotBytes', servers))),
+		costRow(projection, 'configuration: memory', `${projection.formula('configuration.bytes')} bytes`, servers => formatMegabytes(Math.max(0, projection.valueAt('configuration.bytes', servers)))),
+		costRow(projection, 'configuration: processor', `changes × (${milliseconds})`, servers => formatPercent(projection.changeCoreShare(servers))),
+		costRow(
+			projection,
+			'configuration: a snapshot',
+			`${projection.formula('configuration.snapshotBytes')} bytes`,
+			servers => formatMegabytes(projection.valueAt('configuration.snapshotBytes', servers)),
+		),
 	];
 }
 
 function entryRows(projection: Projection): string[][] {
 	const upkeep = `${projection.formula('calls.idleCoreShare')} cores, and ${loadReadsPerSecond}/s × (${projection.formula('calls.loadMilliseconds')} ms)`;
-	const ofService = target.backendServers / target.services;
+	const backendServersPerService = target.backendServers / target.services;
 	return [
 		costRow(
 			projection,
 			'entry VM, call engine: memory',
 			`${projection.formula('calls.stateBytes')} and ${projection.formula('calls.activeServiceBytes')} bytes`,
-			servers => megabytes(projection.callEngineBytes(servers)),
+			servers => formatMegabytes(projection.callEngineBytes(servers)),
 		),
-		costRow(projection, 'entry VM, upkeep: processor', upkeep, servers => percent(projection.upkeepCore(servers))),
+		costRow(projection, 'entry VM, upkeep: processor', upkeep, servers => formatPercent(projection.upkeepCoreShare(servers))),
 		[
 			'entry VM, decisions of a call',
 			`${projection.formula('calls.decisionMicroseconds')} µs`,
-			`${projection.at('calls.decisionMicroseconds', ofService).toPrecision(3)} µs`,
+			`${projection.valueAt('calls.decisionMicroseconds', backendServersPerService).toPrecision(3)} µs`,
 			'the same',
 		],
 		[
 			'address answers: processor',
-			`answers × (${projection.formula('addresses.microseconds')} µs); ${projection.answersPerSecond.toFixed(0)} answers/s assumed`,
-			percent(projection.answersCore),
+			`answers × (${projection.formula('addresses.microseconds')} µs); ${projection.addressAnswersPerSecond.toFixed(0)} answers/s assumed`,
+			formatPercent(projection.addressAnswerCoreShare),
 			'the same until a subset is kept between answers',
 		],
 	];
@@ -169,61 +174,61 @@
 	);
 }
 
-function againstLimits(projection: Projection): string {
-	const read = projection.paired('reads, 60%');
+function limitsTable(projection: Projection): string {
+	const read = projection.pairedResult('reads, 60%');
 	const everything = target.backendServers;
 	const subset = projection.carriedBackendServers;
-	const bytesPerSecond = projection.membershipBytesOut + projection.membershipBytesIn;
-	const judged = (value: number, limit: number, format: (amount: number) => string): string[] => [format(value), verdict(value, limit)];
+	const bytesPerSecond = projection.membershipBytesOutPerSecond + projection.membershipBytesInPerSecond;
+	const compareToLimit = (value: number, limit: number, format: (amount: number) => string): string[] => [format(value), formatVerdict(value, limit)];
 	const same = ['the same', ''];
 	const milliseconds = (value: number): string => `${value.toFixed(2)} ms`;
 	return table(['limit', 'a VM that knows everything', 'verdict', 'a VM that knows what it carries', 'verdict'], [
 		[
 			'1.2 % of a core for control',
-			...judged(projection.controlCore(everything), limits.coreShare, percent),
-			...judged(projection.controlCore(subset), limits.coreShare, percent),
+			...compareToLimit(projection.controlCoreShare(everything), limits.coreShare, formatPercent),
+			...compareToLimit(projection.controlCoreShare(subset), limits.coreShare, formatPercent),
 		],
 		[
 			'128 MB for control, heap of its state',
-			...judged(projection.controlBytes(everything), limits.bytes, megabytes),
-			...judged(projection.controlBytes(subset), limits.bytes, megabytes),
+			...compareToLimit(projection.controlBytes(everything), limits.bytes, formatMegabytes),
+			...compareToLimit(projection.controlBytes(subset), limits.bytes, formatMegabytes),
 		],
 		[
 			'128 MB, with the whole process just started',
-			...judged(projection.processBytes(everything), limits.bytes, megabytes),
-			...judged(projection.processBytes(subset), limits.bytes, megabytes),
+			...compareToLimit(projection.processBytes(everything), limits.bytes, formatMegabytes),
+			...compareToLimit(projection.processBytes(subset), limits.bytes, formatMegabytes),
 		],
-		['13 KB a second for control, both ways', ...judged(bytesPerSecond, limits.bytesPerSecond, kilobytes), ...same],
-		['13 KB a second, a watcher', ...judged(bytesPerSecond + projection.watcherBytesPerSecond, limits.bytesPerSecond, kilobytes), ...same],
+		['13 KB a second for control, both ways', ...compareToLimit(bytesPerSecond, limits.bytesPerSecond, formatKilobytesPerSecond), ...same],
+		['13 KB a second, a watcher', ...compareToLimit(bytesPerSecond + projection.watcherBytesPerSecond, limits.bytesPerSecond, formatKilobytesPerSecond), ...same],
 		[
 			'5 s until a change is in force everywhere, fleets of engines',
-			...judged(projection.at('configuration.inForceMilliseconds', Math.log2(projection.vms)), limits.changeMilliseconds, milliseconds),
+			...compareToLimit(projection.valueAt('configuration.inForceMilliseconds', Math.log2(projection.vms)), limits.changeMilliseconds, milliseconds),
 			...same,
 		],
-		['1.9 ms added at p99, 60 % load, median of rounds', ...judged(read.added.p99, limits.addedMilliseconds, milliseconds), ...same],
-		['1.9 ms added at p99, 60 % load, quietest round', ...judged(read.leastAddedP99, limits.addedMilliseconds, milliseconds), ...same],
+		['1.9 ms added at p99, 60 % load, median of rounds', ...compareToLimit(read.added.p99, limits.addedMilliseconds, milliseconds), ...same],
+		['1.9 ms added at p99, 60 % load, quietest round', ...compareToLimit(read.leastAddedP99, limits.addedMilliseconds, milliseconds), ...same],
 	]);
 }
 
 function platform(projection: Projection): string {
 	const {vms} = projection;
-	const leases = vms * projection.at('platform.callsPerSecondOfAVm', vms);
-	const shards = Math.ceil(projection.at('configuration.snapshotBytes', target.backendServers) / shardBytes);
+	const leases = vms * projection.valueAt('platform.callsPerSecondOfAVm', vms);
+	const shards = Math.ceil(projection.valueAt('configuration.snapshotBytes', target.backendServers) / shardBytes);
 	return table(['calls of the platform\'s service', 'formula', 'a second', 'grows with'], [
 		[
-			'leases of share slots, and reads of the head', `VMs × ${projection.at('platform.callsPerSecondOfAVm', vms).toPrecision(2)} (measured)`, leases.toFixed(0), 'the fleet',
+			'leases of share slots, and reads of the head', `VMs × ${projection.valueAt('platform.callsPerSecondOfAVm', vms).toPrecision(2)} (measured)`, leases.toFixed(0), 'the fleet',
 		],
 		['of these, reads of the head', `VMs / ${headPollSeconds}`, (vms / headPollSeconds).toFixed(0), 'the fleet'],
-		['reads of the VM list', `VMs / ${listSeconds}`, (vms / listSeconds).toFixed(0), 'the fleet'],
+		['reads of the VM list', `VMs / ${vmListPollSeconds}`, (vms / vmListPollSeconds).toFixed(0), 'the fleet'],
 		[
-			'waiting watches, at any moment', `${target.dataCentres} data centres × ${watchersInDataCentre}`, String(target.dataCentres * watchersInDataCentre), 'data centres',
+			'waiting watches, at any moment', `${target.dataCentres} data centres × ${watchersPerDataCentre}`, String(target.dataCentres * watchersPerDataCentre), 'data centres',
 		],
 		['writes of changes', 'changes', projection.changesPerSecond.toPrecision(2), 'changes'],
 		[
-			'bytes out to watchers', 'watchers × bytes of a watcher', kilobytes(target.dataCentres * watchersInDataCentre * projection.watcherBytesPerSecond), 'data centres × changes',
+			'bytes out to watchers', 'watchers × bytes of a watcher', formatKilobytesPerSecond(target.dataCentres * watchersPerDataCentre * projection.watcherBytesPerSecond), 'data centres × changes',
 		],
 		[
-			'reads by replaced VMs', `${replacedPerDay} a day × shards of a snapshot`, (replacedPerDay * shards / daySeconds).toPrecision(2), 'VMs replaced',
+			'reads by replaced VMs', `${vmsReplacedPerDay} a day × shards of a snapshot`, (vmsReplacedPerDay * shards / daySeconds).toPrecision(2), 'VMs replaced',
 		],
 	]);
 }
@@ -235,16 +240,16 @@
 		state.messagesOutPerSecond.toFixed(2),
 		state.bytesOutPerSecond.toFixed(0),
 		state.bytesInPerSecond.toFixed(0),
-		percent(state.engineCoreShare),
+		formatPercent(state.engineCoreShare),
 		String(state.membersBehind),
 	]);
-	const perSecond = (projection.changesPerSecond * projection.vms).toFixed(0);
-	const replaced = (replacedPerDay * 2) + failedPerDay;
+	const recordsPerSecond = (projection.changesPerSecond * projection.vms).toFixed(0);
+	const recordsPerDay = (vmsReplacedPerDay * 2) + vmsFailedPerDay;
 	const inForce = projection.results.capacity.slopes.find(({name}) => name === 'configuration.inForceMilliseconds')!;
 	const fleets = inForce.points.map(({size, value}) => `${(2 ** size).toFixed(0)} VMs ${value.toFixed(0)} ms`).join(', ');
 	const changes = `Longest time until a change was in force on every VM of a simulated fleet: ${fleets}.`;
-	const perChange = `At ${projection.vms} VMs every change makes ${projection.vms} new records, ${perSecond} a second at ${projection.changesPerSecond.toPrecision(3)} changes a second.`;
-	const perDay = `VMs that are replaced or fail (${replacedPerDay} and ${failedPerDay} a day) make ${replaced} a day, ${(replaced / daySeconds).toPrecision(2)} a second.`;
+	const perChange = `At ${projection.vms} VMs every change makes ${projection.vms} new records, ${recordsPerSecond} a second at ${projection.changesPerSecond.toPrecision(3)} changes a second.`;
+	const perDay = `VMs that are replaced or fail (${vmsReplacedPerDay} and ${vmsFailedPerDay} a day) make ${recordsPerDay} a day, ${(recordsPerDay / daySeconds).toPrecision(2)} a second.`;
 	const states = table(['VMs', 'messages out/s', 'bytes out/s', 'bytes in/s', 'engine', 'members whose version is not known here yet'], rows);
 	return `${states}\n\n${changes}\n\n${perChange} ${perDay}`;
 }
@@ -283,7 +288,7 @@
 }
 
 const sections: Readonly<Record<string, (projection: Projection) => string>> = {
-	size, path, 'path-memory': pathMemory, roles, limits: againstLimits, platform, dissemination, control,
+	size, path, 'path-memory': pathMemory, roles, limits: limitsTable, platform, dissemination, control,
 };
 
 /** The page with its figures made anew. */
--- a/scripts/capacity-projection.ts
+++ b/scripts/capacity-projection.ts
@@ -6,16 +6,16 @@
 import {historyCharacters, keptCharacters} from '../src/common/fleet/configuration/head.ts';
 
 /** A VM is loaded up to this part of its measured saturation. */
-export const loadedPart = 0.6;
+export const maxLoadShare = 0.6;
 
 /** VMs that carry one service at least (src/daemon/wiring.ts). */
-export const smallestSubset = 16;
+export const minSubsetSize = 16;
 
 /** Services that one caller calls: assumed, since nobody has told. Every backend server is a caller of deeper levels. */
-const servicesOfCaller = 10;
+const servicesPerCaller = 10;
 
 /** How long a caller keeps an answer (default of the settings). */
-const keepSeconds = 5;
+const addressTtlSeconds = 5;
 
 /** Reads of the engine's load for gauges and answers: two each half second (src/daemon/daemon.ts). */
 export const loadReadsPerSecond = 4;
@@ -27,7 +27,7 @@
 const measuringCallsPerSecond = 24;
 
 /** 250 connections of a backend server, less the reserve of a fifth. */
-const connectionsForSlots = 200;
+const sharedConnections = 200;
 
 /** Both stored results. */
 export type StoredResults = {readonly path: PathResults; readonly capacity: CapacityResults; readonly control: ControlResults};
@@ -36,25 +36,25 @@
 export class Projection {
 	readonly vms: number;
 	readonly changesPerSecond = target.changesPerDay / daySeconds;
-	readonly rateOfVm: number;
+	readonly callsPerSecondPerVm: number;
 	private readonly _results: StoredResults;
 
 	constructor(results: StoredResults) {
 		this._results = results;
-		this.rateOfVm = loadedPart * this.paired('reads, saturation').through.callsPerSecond;
-		this.vms = Math.ceil(target.callsPerSecond / this.rateOfVm);
+		this.callsPerSecondPerVm = maxLoadShare * this.pairedResult('reads, saturation').through.callsPerSecond;
+		this.vms = Math.ceil(target.callsPerSecond / this.callsPerSecondPerVm);
 	}
 
 	get results(): StoredResults {
 		return this._results;
 	}
 
-	paired(name: string): PairedResult {
+	pairedResult(name: string): PairedResult {
 		return this._results.path.paired.find(result => result.name === name)!;
 	}
 
 	/** Value of a slope at a size. */
-	at(name: string, size: number): number {
+	valueAt(name: string, size: number): number {
 		const slope = this._results.capacity.slopes.find(candidate => candidate.name === name)!;
 		return slope.fixed + (slope.slope * size);
 	}
@@ -67,55 +67,55 @@
 
 	/** Backend servers of the services that one VM carries, if each service is carried by the smallest subset. */
 	get carriedServices(): number {
-		return target.services * smallestSubset / this.vms;
+		return target.services * minSubsetSize / this.vms;
 	}
 
 	get carriedBackendServers(): number {
 		return this.carriedServices * target.backendServers / target.services;
 	}
 
-	get membershipBytesOut(): number {
-		return this.at('membership.bytesOutPerSecond', this.vms) + (this._results.capacity.transport.overheadBytesPerMessage * this.messagesOut);
+	get membershipBytesOutPerSecond(): number {
+		return this.valueAt('membership.bytesOutPerSecond', this.vms) + (this._results.capacity.transport.overheadBytesPerMessage * this.messagesOutPerSecond);
 	}
 
-	get membershipBytesIn(): number {
-		return this.at('membership.bytesInPerSecond', this.vms) + (this._results.capacity.transport.overheadBytesPerMessage * this.messagesOut);
+	get membershipBytesInPerSecond(): number {
+		return this.valueAt('membership.bytesInPerSecond', this.vms) + (this._results.capacity.transport.overheadBytesPerMessage * this.messagesOutPerSecond);
 	}
 
-	get messagesOut(): number {
-		return this.at('membership.messagesOutPerSecond', this.vms);
+	get messagesOutPerSecond(): number {
+		return this.valueAt('membership.messagesOutPerSecond', this.vms);
 	}
 
 	/** Engine, codec and gRPC. */
-	get membershipCore(): number {
-		const transport = 2 * this.messagesOut * this._results.capacity.transport.processorMicrosecondsPerMessage / 1e6;
-		return this.at('membership.engineCoreShare', this.vms) + Math.max(0, this.at('membership.codecCoreShare', this.vms)) + transport;
+	get membershipCoreShare(): number {
+		const transport = 2 * this.messagesOutPerSecond * this._results.capacity.transport.processorMicrosecondsPerMessage / 1e6;
+		return this.valueAt('membership.engineCoreShare', this.vms) + Math.max(0, this.valueAt('membership.codecCoreShare', this.vms)) + transport;
 	}
 
 	/** Changes: the fleet engine's part and the call engine's. */
-	changeCore(backendServers: number): number {
-		return this.changesPerSecond * (this.at('configuration.changeMilliseconds', backendServers) + this.at('calls.configureMilliseconds', backendServers)) / 1000;
+	changeCoreShare(backendServers: number): number {
+		return this.changesPerSecond * (this.valueAt('configuration.changeMilliseconds', backendServers) + this.valueAt('calls.configureMilliseconds', backendServers)) / 1000;
 	}
 
 	/** Looks at backend servers that might be measured, and load for gauges. */
-	upkeepCore(backendServers: number): number {
-		return Math.max(0, this.at('calls.idleCoreShare', backendServers)) + (loadReadsPerSecond * Math.max(0, this.at('calls.loadMilliseconds', backendServers)) / 1000);
+	upkeepCoreShare(backendServers: number): number {
+		return Math.max(0, this.valueAt('calls.idleCoreShare', backendServers)) + (loadReadsPerSecond * Math.max(0, this.valueAt('calls.loadMilliseconds', backendServers)) / 1000);
 	}
 
-	get answersPerSecond(): number {
-		return target.backendServers * servicesOfCaller / keepSeconds / this.vms;
+	get addressAnswersPerSecond(): number {
+		return target.backendServers * servicesPerCaller / addressTtlSeconds / this.vms;
 	}
 
-	get answersCore(): number {
-		return this.answersPerSecond * this.at('addresses.microseconds', this.vms) / 1e6;
+	get addressAnswerCoreShare(): number {
+		return this.addressAnswersPerSecond * this.valueAt('addresses.microseconds', this.vms) / 1e6;
 	}
 
-	controlCore(backendServers: number): number {
-		return this.membershipCore + this.changeCore(backendServers) + this.upkeepCore(backendServers) + this.answersCore;
+	controlCoreShare(backendServers: number): number {
+		return this.membershipCoreShare + this.changeCoreShare(backendServers) + this.upkeepCoreShare(backendServers) + this.addressAnswerCoreShare;
 	}
 
 	controlBytes(backendServers: number): number {
-		return this.at('membership.bytes', this.vms) + Math.max(0, this.at('configuration.bytes', backendServers)) + this.callEngineBytes(backendServers);
+		return this.valueAt('membership.bytes', this.vms) + Math.max(0, this.valueAt('configuration.bytes', backendServers)) + this.callEngineBytes(backendServers);
 	}
 
 	/** With the process itself: its code, libraries and what it holds at the start. */
@@ -126,7 +126,7 @@
 	/** State of declared backend servers and of services that are called. */
 	callEngineBytes(backendServers: number): number {
 		const services = backendServers * target.services / target.backendServers;
-		return this.at('calls.stateBytes', backendServers) + Math.max(0, this.at('calls.activeServiceBytes', services));
+		return this.valueAt('calls.stateBytes', backendServers) + Math.max(0, this.valueAt('calls.activeServiceBytes', services));
 	}
 
 	get shareSlots(): number {
@@ -134,12 +134,12 @@
 	}
 
 	/** Between two measuring calls of one VM to one backend server, with the default budget of a service. */
-	get measuringSeconds(): number {
+	get measuringIntervalSeconds(): number {
 		return this.shareSlots / measuringCallsPerSecond;
 	}
 
-	get connectionsOfSlot(): number {
-		return connectionsForSlots / this.shareSlots;
+	get connectionsPerSlot(): number {
+		return sharedConnections / this.shareSlots;
 	}
 
 	/** The head is sent whole with each change; its history moves between the kept and the largest length. */
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -33,30 +33,30 @@
 	return new Set(lines.map(line => line.split(' | ')[0]!.trim()));
 }
 
-function runMocha(extra: readonly string[]): MochaReport | undefined {
+function runMocha(mochaArguments: readonly string[]): MochaReport | undefined {
 	const folder = mkdtempSync(join(tmpdir(), 'jaydale-tests-'));
 	const output = join(folder, 'report.json');
-	runStep('tests', 'mocha', ['--exit', '--reporter', 'json', '--reporter-option', `output=${output}`, ...extra]);
+	runStep('tests', 'mocha', ['--exit', '--reporter', 'json', '--reporter-option', `output=${output}`, ...mochaArguments]);
 	const report = existsSync(output) ? mochaReportSchema.parse(JSON.parse(readFileSync(output, 'utf8'))) : undefined;
 	rmSync(folder, {recursive: true});
 	return report;
 }
 
 function main(): number {
-	const areChecksClean = runStep('types', 'tsc', ['-p', 'tsconfig.json']) && runStep('linter and formatter', 'xo', []);
+	const didChecksPass = runStep('types', 'tsc', ['-p', 'tsconfig.json']) && runStep('linter and formatter', 'xo', []);
 	const report = runMocha(process.argv.slice(2));
 	if (report === undefined) {
 		console.log('0 passed, 1 failed');
 		return 1;
 	}
 
-	const known = knownRedTitles();
+	const knownTitles = knownRedTitles();
 	for (const failure of report.failures) {
-		const label = known.has(failure.fullTitle) ? 'KNOWN RED' : 'FAILED';
+		const label = knownTitles.has(failure.fullTitle) ? 'KNOWN RED' : 'FAILED';
 		console.log(`${label}: ${failure.fullTitle}\n${failure.err.stack ?? failure.err.message ?? ''}`);
 	}
 
-	const unexpected = report.failures.filter(failure => !known.has(failure.fullTitle)).length + (areChecksClean ? 0 : 1);
+	const unexpected = report.failures.filter(failure => !knownTitles.has(failure.fullTitle)).length + (didChecksPass ? 0 : 1);
 	console.log(`${report.passes.length} passed, ${unexpected} failed`);
 	return unexpected === 0 && report.passes.length > 0 ? 0 : 1;
 }
--- a/src/cli/api-client.ts
+++ b/src/cli/api-client.ts
@@ -4,7 +4,7 @@
 import {failure, type Failure} from '../common/errors/failure.ts';
 import {problemTypePrefix} from '../common/protocol/headers.ts';
 import {problemSchema, type Problem} from '../node/api/types.ts';
-import {type HttpAnswer, type Terminal} from './types.ts';
+import {type HttpResponse, type Terminal} from './types.ts';
 
 /** Why a request came to nothing. */
 export type ClientFailure
@@ -17,17 +17,17 @@
 	/** The API's own refusal. */
 		| (Failure<'problem'> & {readonly problem: Problem});
 
-type RequestParts = {
+type RequestOptions = {
 	readonly body?: unknown;
 	/** Time to wait for the answer. */
-	readonly milliseconds?: number;
+	readonly timeoutMilliseconds?: number;
 };
 
 /** A VM answers a change within seconds even while the platform's service is slow. */
-const usualWaitMilliseconds = 15_000;
+const defaultTimeoutMilliseconds = 15_000;
 
 /** The codes by which Node and undici say that no connection came about, so nothing was sent. */
-const notSentCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN', 'UND_ERR_CONNECT_TIMEOUT']);
+const notConnectedCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN', 'UND_ERR_CONNECT_TIMEOUT']);
 
 /** Sends requests to the first VM that takes them. */
 export class ApiClient {
@@ -43,36 +43,36 @@
 	}
 
 	/** A request whose answer has a body. */
-	async request<Schema extends z.ZodType>(method: string, path: string, schema: Schema, parts: RequestParts = {}): Promise<Result<z.infer<Schema>, ClientFailure>> {
-		const answer = await this.send(method, path, parts);
-		return answer.andThen(text => readAnswer(text, schema));
+	async request<Schema extends z.ZodType>(method: string, path: string, schema: Schema, options: RequestOptions = {}): Promise<Result<z.infer<Schema>, ClientFailure>> {
+		const answer = await this.send(method, path, options);
+		return answer.andThen(text => parseBody(text, schema));
 	}
 
 	/** A request whose answer's body does not matter. Reads go on to the next VM when one does not answer. */
-	async send(method: string, path: string, parts: RequestParts = {}): Promise<Result<string, ClientFailure>> {
-		let latest: ClientFailure = failure('unreachable', 'no server is named');
+	async send(method: string, path: string, options: RequestOptions = {}): Promise<Result<string, ClientFailure>> {
+		let lastFailure: ClientFailure = failure('unreachable', 'no server is named');
 		for (const server of this._servers) {
-			const outcome = await this._exchange(server, method, path, parts);
+			const outcome = await this._sendTo(server, method, path, options);
 			if (outcome.isOk()) {
 				return outcome;
 			}
 
-			latest = outcome.error;
-			if (latest.kind === 'no-answer') {
+			lastFailure = outcome.error;
+			if (lastFailure.kind === 'no-answer') {
 				this._servers = [...this._servers.filter(other => other !== server), server];
 			}
 
-			const mayTryNext = latest.kind === 'unreachable' || isNotReady(latest) || (latest.kind === 'no-answer' && method === 'GET');
-			if (!mayTryNext) {
+			const canTryNextServer = lastFailure.kind === 'unreachable' || isNotReady(lastFailure) || (lastFailure.kind === 'no-answer' && method === 'GET');
+			if (!canTryNextServer) {
 				break;
 			}
 		}
 
-		return err(latest);
+		return err(lastFailure);
 	}
 
-	private async _exchange(server: string, method: string, path: string, parts: RequestParts): Promise<Result<string, ClientFailure>> {
-		const {body, milliseconds = usualWaitMilliseconds} = parts;
+	private async _sendTo(server: string, method: string, path: string, options: RequestOptions): Promise<Result<string, ClientFailure>> {
+		const {body, timeoutMilliseconds = defaultTimeoutMilliseconds} = options;
 		try {
 			const answer = await this._terminal.exchange(`${server}${path}`, {
 				method,
@@ -81,11 +81,11 @@
 					...(body !== undefined && {'content-type': 'application/json'}),
 				},
 				...(body !== undefined && {body: JSON.stringify(body)}),
-				signal: AbortSignal.any([AbortSignal.timeout(milliseconds), this._terminal.signal]),
+				signal: AbortSignal.any([AbortSignal.timeout(timeoutMilliseconds), this._terminal.signal]),
 			});
-			return await interpret(answer);
+			return await parseResponse(answer);
 		} catch (error) {
-			return err(describeError(server, error));
+			return err(toFailure(server, error));
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	return value.kind === 'problem' && value.problem.type === `${problemTypePrefix}not-ready`;
 }
 
-async function interpret(answer: HttpAnswer): Promise<Result<string, ClientFailure>> {
+async function parseResponse(answer: HttpResponse): Promise<Result<string, ClientFailure>> {
 	const text = await answer.text();
 	if (answer.status < 400) {
 		return ok(text);
@@ -109,7 +109,7 @@
 	return err({...failure('problem', `${parsed.data.title}: ${parsed.data.detail}`), problem: parsed.data});
 }
 
-function readAnswer<Schema extends z.ZodType>(text: string, schema: Schema): Result<z.infer<Schema>, ClientFailure> {
+function parseBody<Schema extends z.ZodType>(text: string, schema: Schema): Result<z.infer<Schema>, ClientFailure> {
 	const parsed = schema.safeParse(parseJson(text));
 	return parsed.success ? ok(parsed.data) : err(failure('not-jaydale', 'the answer is not in the form of this version of jaydale'));
 }
@@ -122,11 +122,11 @@
 	}
 }
 
-function describeError(server: string, error: unknown): ClientFailure {
+function toFailure(server: string, error: unknown): ClientFailure {
 	const cause: unknown = error instanceof Error ? error.cause ?? error : error;
 	const code = cause instanceof Error && 'code' in cause ? String(cause.code) : '';
 	const reason = cause instanceof Error ? cause.message : String(cause);
-	return notSentCodes.has(code)
+	return notConnectedCodes.has(code)
 		? failure('unreachable', `${server} cannot be reached: ${code}`)
 		: failure('no-answer', `${server} did not answer: ${reason === '' ? code : reason}`);
 }
--- a/src/cli/call-story.test.ts
+++ b/src/cli/call-story.test.ts
@@ -1,5 +1,5 @@
 import {expect} from 'earl';
-import {tellCall} from './call-story.ts';
+import {traceCall} from './call-story.ts';
 
 function line(second: number, vm: string, message: string, fields: Readonly<Record<string, unknown>> = {}): string {
 	return JSON.stringify({
@@ -26,9 +26,9 @@
 			line(10, 'vm-3', 'configuration adopted', {version: 4}),
 			'not a line of ours',
 		].join('\n');
-		expect(tellCall('c-1', log)).toEqual({
+		expect(traceCall('c-1', log)).toEqual({
 			callLines: 2,
-			unreadable: 1,
+			unreadableLines: 1,
 			lines: [
 				'2026-12-03T10:00:10.000Z vm-1 call ended service=orders outcome=unknown reason=outcome-unknown trail="first at 2 ms to i-9: 0/6 calls, work time 1, report 0 ms old"',
 				'2026-12-03T10:00:11.000Z vm-1 backend server gone backendServer=i-9 service=orders',
@@ -38,6 +38,6 @@
 	});
 
 	it('reads lines before which a collector has put words of its own', () => {
-		expect(tellCall('c-1', `  3.0733 edge-1 ${line(10, 'vm-1', 'call ended', {traceId: 'c-1', ...call})}`).callLines).toEqual(1);
+		expect(traceCall('c-1', `  3.0733 edge-1 ${line(10, 'vm-1', 'call ended', {traceId: 'c-1', ...call})}`).callLines).toEqual(1);
 	});
 });
--- a/src/cli/call-story.ts
+++ b/src/cli/call-story.ts
@@ -2,10 +2,10 @@
 import {z} from 'zod';
 
 /** Lines about backend servers and the store are told if they were written within this many milliseconds of the call. */
-const nearMilliseconds = 3000;
+const contextWindowMilliseconds = 3000;
 
 /** Messages that explain what a VM believed when it decided; all others tell of other calls. */
-const beliefs: ReadonlySet<string> = new Set([
+const contextMessages: ReadonlySet<string> = new Set([
 	'configuration adopted',
 	'configuration rejected; the one in force stays',
 	'backend server registered',
@@ -34,60 +34,60 @@
 type Line = z.infer<typeof lineSchema>;
 
 /** What was found of a call. */
-export type CallStory = {
+export type CallTrace = {
 	/** Lines for people, oldest first. */
 	readonly lines: readonly string[];
 	/** Lines of the call itself; the others tell what its VMs believed. */
 	readonly callLines: number;
 	/** Lines of the input that are no log lines. */
-	readonly unreadable: number;
+	readonly unreadableLines: number;
 };
 
 function parse(text: string): Line | undefined {
 	// Collectors put their own words before a line.
-	const begin = text.indexOf('{');
-	if (begin === -1) {
+	const start = text.indexOf('{');
+	if (start === -1) {
 		return undefined;
 	}
 
 	try {
-		const parsed = lineSchema.safeParse(JSON.parse(text.slice(begin)));
+		const parsed = lineSchema.safeParse(JSON.parse(text.slice(start)));
 		return parsed.success ? parsed.data : undefined;
 	} catch {
 		return undefined;
 	}
 }
 
-function describe({time, level, message, vm, traceId, ...fields}: Line): string {
+function formatLine({time, level, message, vm, traceId, ...fields}: Line): string {
 	const details = Object.entries(fields).map(([name, value]) => `${name}=${typeof value === 'string' && value.includes(' ') ? JSON.stringify(value) : String(value)}`);
 	return [time, vm, level === 'info' ? '' : level, message, ...details].filter(word => word !== '').join(' ');
 }
 
 /** Words by which a line about a belief touches the call: its service and the backend servers that it was sent to. */
-function wordsOf(calls: readonly Line[]): string[] {
+function namesInCall(calls: readonly Line[]): string[] {
 	const trails = calls.flatMap(({trail}) => typeof trail === 'string' ? [...trail.matchAll(/ to (?<server>[^:]+):/gv)].map(match => match.groups!.server!) : []);
 	const services = calls.flatMap(({service}) => typeof service === 'string' ? [service] : []);
 	return [...trails, ...services];
 }
 
 /** All lines of the call, and what its VMs came to believe of its backend servers, the store and themselves near it. */
-export function tellCall(traceId: string, log: string): CallStory {
+export function traceCall(traceId: string, log: string): CallTrace {
 	const lines = log.split('\n').filter(text => text.trim() !== '');
 	const parsed = lines.map(text => parse(text));
 	const all = parsed.filter(line => line !== undefined);
 	const calls = all.filter(line => line.traceId === traceId);
-	const words = wordsOf(calls);
-	const isNear = (line: Line) => calls.some(call => call.vm === line.vm && Math.abs(Date.parse(call.time) - Date.parse(line.time)) <= nearMilliseconds);
-	const isBelief = (line: Line) => {
+	const names = namesInCall(calls);
+	const isNearCall = (line: Line) => calls.some(call => call.vm === line.vm && Math.abs(Date.parse(call.time) - Date.parse(line.time)) <= contextWindowMilliseconds);
+	const isContext = (line: Line) => {
 		const {backendServer, service} = line;
-		const isOfServers = backendServer !== undefined || service !== undefined;
-		return beliefs.has(line.message) && (!isOfServers || words.includes(String(backendServer)) || words.includes(String(service)));
+		const namesResource = backendServer !== undefined || service !== undefined;
+		return contextMessages.has(line.message) && (!namesResource || names.includes(String(backendServer)) || names.includes(String(service)));
 	};
 
-	const chosen = all.filter(line => line.traceId === traceId || (isBelief(line) && isNear(line)));
+	const chosen = all.filter(line => line.traceId === traceId || (isContext(line) && isNearCall(line)));
 	return {
-		lines: chosen.toSorted((one, other) => one.time.localeCompare(other.time)).map(line => describe(line)),
+		lines: chosen.toSorted((one, other) => one.time.localeCompare(other.time)).map(line => formatLine(line)),
 		callLines: calls.length,
-		unreadable: parsed.length - all.length,
+		unreadableLines: parsed.length - all.length,
 	};
 }
--- a/src/cli/check-arguments.ts
+++ b/src/cli/check-arguments.ts
@@ -11,25 +11,25 @@
 
 /** Options that every command has, sade's own. */
 const helpOptions: readonly OptionDefinition[] = [
-	{name: 'help', short: 'h', describe: ''},
-	{name: 'version', short: 'v', describe: ''},
+	{name: 'help', short: 'h', description: ''},
+	{name: 'version', short: 'v', description: ''},
 ];
 
 /** The words of a command, without its parameters. */
 export function commandName(definition: CommandDefinition): string {
-	return parts(definition).filter(part => !/^[<\[]/v.test(part)).join(' ');
+	return usageWords(definition).filter(part => !/^[<\[]/v.test(part)).join(' ');
 }
 
 /** Whether the arguments only ask for help or the version, which sade answers. */
-export function asksForHelp(given: readonly string[]): boolean {
-	return given.some(word => ['-h', '--help', '-v', '--version'].includes(word));
+export function isHelpRequest(argv: readonly string[]): boolean {
+	return argv.some(word => ['-h', '--help', '-v', '--version'].includes(word));
 }
 
 /** The command that the arguments name, if they fit it. */
-export function checkArguments(given: readonly string[], definitions: readonly CommandDefinition[]): Result<CommandDefinition, ArgumentFailure> {
-	return findCommand(plainWords(given, definitions.flatMap(definition => definition.options)), definitions)
-		.andThen(definition => checkOptions(given, definition))
-		.andThen(definition => checkParameters(plainWords(given, definition.options), definition));
+export function checkArguments(argv: readonly string[], definitions: readonly CommandDefinition[]): Result<CommandDefinition, ArgumentFailure> {
+	return findCommand(positionalArguments(argv, definitions.flatMap(definition => definition.options)), definitions)
+		.andThen(definition => checkOptions(argv, definition))
+		.andThen(definition => checkParameters(positionalArguments(argv, definition.options), definition));
 }
 
 /** The command that the words begin with. */
@@ -44,13 +44,13 @@
 }
 
 /** The words that are neither options nor their values. */
-export function plainWords(given: readonly string[], options: readonly OptionDefinition[]): string[] {
+export function positionalArguments(argv: readonly string[], options: readonly OptionDefinition[]): string[] {
 	const words: string[] = [];
-	for (let index = 0; index < given.length; index++) {
-		const word = given[index]!;
+	for (let index = 0; index < argv.length; index++) {
+		const word = argv[index]!;
 		if (!isOption(word)) {
 			words.push(word);
-		} else if (!word.includes('=') && findOption(word, options)?.value !== undefined) {
+		} else if (!word.includes('=') && findOption(word, options)?.valueName !== undefined) {
 			index++;
 		}
 	}
@@ -59,11 +59,11 @@
 }
 
 function unknownCommand(words: readonly string[], names: readonly string[]): ArgumentFailure {
-	const family = names.filter(name => name.startsWith(`${words[0]} `));
-	if (family.length > 0) {
+	const subcommands = names.filter(name => name.startsWith(`${words[0]} `));
+	if (subcommands.length > 0) {
 		const found = words.slice(0, 2).join(' ');
-		const suggestion = words.length > 1 ? closestName(found, family) : undefined;
-		const hint = suggestion === undefined ? `allowed: ${family.join(', ')}` : `did you mean "${suggestion}"?`;
+		const suggestion = words.length > 1 ? closestName(found, subcommands) : undefined;
+		const hint = suggestion === undefined ? `allowed: ${subcommands.join(', ')}` : `did you mean "${suggestion}"?`;
 		return failure('unknown-command', `"${found}" is no command; ${hint}`);
 	}
 
@@ -73,10 +73,10 @@
 		: `"${words[0]}" is no command; did you mean "${suggestion}"?`);
 }
 
-function checkOptions(given: readonly string[], definition: CommandDefinition): Result<CommandDefinition, ArgumentFailure> {
+function checkOptions(argv: readonly string[], definition: CommandDefinition): Result<CommandDefinition, ArgumentFailure> {
 	const known = [...definition.options, ...helpOptions];
-	for (const [index, word] of given.entries()) {
-		const isValue = index > 0 && isOption(given[index - 1]!) && !given[index - 1]!.includes('=') && findOption(given[index - 1]!, known)?.value !== undefined;
+	for (const [index, word] of argv.entries()) {
+		const isValue = index > 0 && isOption(argv[index - 1]!) && !argv[index - 1]!.includes('=') && findOption(argv[index - 1]!, known)?.valueName !== undefined;
 		if (!isOption(word) || isValue) {
 			continue;
 		}
@@ -86,12 +86,12 @@
 			return err(unknownOption(word, known, definition));
 		}
 
-		if (option.value !== undefined && !hasValue(word, given[index + 1])) {
-			return err(failure('lacking-value', `--${option.name} needs a value: --${option.name} ${option.value}`));
+		if (option.valueName !== undefined && !hasValue(word, argv[index + 1])) {
+			return err(failure('lacking-value', `--${option.name} needs a value: --${option.name} ${option.valueName}`));
 		}
 
-		const value = word.includes('=') ? word.slice(word.indexOf('=') + 1) : given[index + 1];
-		const fault = value === undefined ? undefined : wrongValue(option, value);
+		const value = word.includes('=') ? word.slice(word.indexOf('=') + 1) : argv[index + 1];
+		const fault = value === undefined ? undefined : checkValue(option, value);
 		if (fault !== undefined) {
 			return err(fault);
 		}
@@ -107,17 +107,17 @@
 	return failure('unknown-option', `"jaydale ${commandName(definition)}" has no option ${word.split('=', 1)[0]}; ${hint}`);
 }
 
-function wrongValue(option: OptionDefinition, found: string): ArgumentFailure | undefined {
-	const {name, choices, most} = option;
+function checkValue(option: OptionDefinition, found: string): ArgumentFailure | undefined {
+	const {name, choices, max} = option;
 	if (choices !== undefined && !choices.includes(found)) {
-		return wrongChoice(name, found, choices);
+		return invalidChoice(name, found, choices);
 	}
 
-	const isNumber = most === undefined || (/^\d{1,15}$/v.test(found) && Number(found) <= most);
-	return isNumber ? undefined : failure('wrong-value', `--${name}: found ${JSON.stringify(found)}; allowed: a whole number from 0 to ${most}`);
+	const isNumber = max === undefined || (/^\d{1,15}$/v.test(found) && Number(found) <= max);
+	return isNumber ? undefined : failure('wrong-value', `--${name}: found ${JSON.stringify(found)}; allowed: a whole number from 0 to ${max}`);
 }
 
-function wrongChoice(name: string, found: string, choices: readonly string[]): ArgumentFailure {
+function invalidChoice(name: string, found: string, choices: readonly string[]): ArgumentFailure {
 	const suggestion = closestName(found, choices);
 	const hint = suggestion === undefined ? '' : `; did you mean "${suggestion}"?`;
 	return failure('wrong-value', `--${name}: found ${JSON.stringify(found)}; allowed: ${choices.join(', ')}${hint}`);
@@ -126,10 +126,10 @@
 function checkParameters(words: readonly string[], definition: CommandDefinition): Result<CommandDefinition, ArgumentFailure> {
 	const name = commandName(definition);
 	const found = words.slice(name.split(' ').length);
-	const declared = parts(definition).filter(part => /^[<\[]/v.test(part));
-	const lacking = declared.filter(part => part.startsWith('<')).slice(found.length);
-	if (lacking.length > 0) {
-		return err(failure('wrong-parameters', `${lacking.join(' ')} ${lacking.length === 1 ? 'is' : 'are'} lacking; usage: jaydale ${definition.usage}`));
+	const declared = usageWords(definition).filter(part => /^[<\[]/v.test(part));
+	const missing = declared.filter(part => part.startsWith('<')).slice(found.length);
+	if (missing.length > 0) {
+		return err(failure('wrong-parameters', `${missing.join(' ')} ${missing.length === 1 ? 'is' : 'are'} lacking; usage: jaydale ${definition.usage}`));
 	}
 
 	return found.length > declared.length
@@ -137,7 +137,7 @@
 		: ok(definition);
 }
 
-function parts(definition: CommandDefinition): string[] {
+function usageWords(definition: CommandDefinition): string[] {
 	return definition.usage.split(' ');
 }
 
--- a/src/cli/commands/apply.ts
+++ b/src/cli/commands/apply.ts
@@ -12,11 +12,11 @@
 import {readResourceFiles} from '../resource-files.ts';
 import {readKeys} from '../resource-reader.ts';
 import {
-	formatOption, inSession, sessionOptions, tellReadFailure,
+	formatOption, withSession, sessionOptions, reportReadFailure,
 } from '../session.ts';
-import {type CommandCall, type CommandDefinition} from '../types.ts';
-import {readResourceKey} from './parameters.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {type CommandContext, type CommandDefinition} from '../types.ts';
+import {parseResourceKey} from './parameters.ts';
+import {reportInvalidInput} from './tell-wrong-input.ts';
 
 type Step = {
 	readonly action: 'create' | 'replace' | 'delete' | 'unchanged';
@@ -27,13 +27,13 @@
 
 export const applyCommand: CommandDefinition = {
 	usage: 'apply',
-	describe: 'Put resources from TOML files in force, all in one change. Resources that are not in the files stay as they are.',
+	description: 'Put resources from TOML files in force, all in one change. Resources that are not in the files stay as they are.',
 	options: [
 		{
-			name: 'file', short: 'f', value: 'FILE', describe: 'A TOML file, - for standard input; may stand several times',
+			name: 'file', short: 'f', valueName: 'FILE', description: 'A TOML file, - for standard input; may stand several times',
 		},
-		{name: 'delete', value: 'KIND/NAME', describe: 'Delete this resource in the same change; may stand several times'},
-		{name: 'dry-run', describe: 'Only show what would change'},
+		{name: 'delete', valueName: 'KIND/NAME', description: 'Delete this resource in the same change; may stand several times'},
+		{name: 'dry-run', description: 'Only show what would change'},
 		...changeOptions,
 		formatOption,
 		...sessionOptions,
@@ -44,72 +44,72 @@
 		'apply -f services.toml --wait 5',
 		'apply --delete service/archive --delete sharing-rule/archive-judges',
 	],
-	async run(call) {
-		const paths = call.options.texts('file');
-		const deletions = Result.combine(call.options.texts('delete').map(text => readResourceKey(...splitKey(text))));
+	async run(context) {
+		const paths = context.options.texts('file');
+		const deletions = Result.combine(context.options.texts('delete').map(text => parseResourceKey(...splitKey(text))));
 		if (deletions.isErr()) {
-			return tellWrongInput(call.terminal, deletions.error);
+			return reportInvalidInput(context.terminal, deletions.error);
 		}
 
 		if (paths.length + deletions.value.length === 0) {
-			return tellWrongInput(call.terminal, failure('wrong-parameter', 'nothing to apply; allowed: -f FILE, once or several times', {field: '--file'}));
+			return reportInvalidInput(context.terminal, failure('wrong-parameter', 'nothing to apply; allowed: -f FILE, once or several times', {field: '--file'}));
 		}
 
-		const resources = await readResourceFiles(call.terminal, paths);
+		const resources = await readResourceFiles(context.terminal, paths);
 		return resources.isErr()
-			? tellWrongInput(call.terminal, ...resources.error)
-			: inSession(call, async client => apply(call, client, resources.value, deletions.value));
+			? reportInvalidInput(context.terminal, ...resources.error)
+			: withSession(context, async client => apply(context, client, resources.value, deletions.value));
 	},
 };
 
-async function apply(call: CommandCall, client: ApiClient, resources: readonly Resource[], deletions: readonly ResourceKey[]): Promise<ExitCode> {
-	const {terminal, options} = call;
-	const present = await readKeys(client, [...resources.map(resourceKey), ...deletions]);
-	if (present.isErr()) {
-		return tellReadFailure(terminal, present.error);
+async function apply(context: CommandContext, client: ApiClient, resources: readonly Resource[], deletions: readonly ResourceKey[]): Promise<ExitCode> {
+	const {terminal, options} = context;
+	const current = await readKeys(client, [...resources.map(resourceKey), ...deletions]);
+	if (current.isErr()) {
+		return reportReadFailure(terminal, current.error);
 	}
 
-	const steps = planSteps(resources, deletions, present.value.items);
+	const steps = planSteps(resources, deletions, current.value.items);
 	const changed = steps.filter(step => step.action !== 'unchanged');
 	for (const step of steps) {
-		terminal.complain(`${step.action} ${step.key}`);
+		terminal.printError(`${step.action} ${step.key}`);
 	}
 
 	// An earlier try may have been accepted: sending it again tells its version.
-	const isRepetition = options.text('operation') !== undefined;
-	if (options.isSet('dry-run') || (changed.length === 0 && !isRepetition)) {
-		terminal.complain(changed.length === 0 ? 'nothing to change' : `${changed.length} to change; nothing was changed (--dry-run)`);
+	const isResend = options.text('operation') !== undefined;
+	if (options.isSet('dry-run') || (changed.length === 0 && !isResend)) {
+		terminal.printError(changed.length === 0 ? 'nothing to change' : `${changed.length} to change; nothing was changed (--dry-run)`);
 		return exitCodes.done;
 	}
 
-	const sent = (isRepetition ? steps : changed).flatMap(step => step.mutation ?? []);
-	return sendChange(call, client, sent, `${sent.length} ${sent.length === 1 ? 'resource' : 'resources'}`);
+	const mutations = (isResend ? steps : changed).flatMap(step => step.mutation ?? []);
+	return sendChange(context, client, mutations, `${mutations.length} ${mutations.length === 1 ? 'resource' : 'resources'}`);
 }
 
 /** Each step names the version it was planned against, so that a change that comes between is not overwritten. */
-function planSteps(resources: readonly Resource[], deletions: readonly ResourceKey[], present: readonly StoredResource[]): Step[] {
-	const byKey = new Map(present.map(item => [resourceKey(item.resource), item]));
+function planSteps(resources: readonly Resource[], deletions: readonly ResourceKey[], current: readonly StoredResource[]): Step[] {
+	const byKey = new Map(current.map(item => [resourceKey(item.resource), item]));
 	return [
 		...resources.map(resource => planPut(resource, byKey.get(resourceKey(resource)))),
 		...deletions.map(key => planDelete(key, byKey.get(key))),
 	];
 }
 
-function planPut(resource: Resource, present: StoredResource | undefined): Step {
+function planPut(resource: Resource, current: StoredResource | undefined): Step {
 	const key = resourceKey(resource);
-	const mutation: Mutation = {type: 'put', resource, expected: present?.metadata.version ?? 0};
-	if (present === undefined) {
+	const mutation: Mutation = {type: 'put', resource, expected: current?.metadata.version ?? 0};
+	if (current === undefined) {
 		return {action: 'create', key, mutation};
 	}
 
-	return {action: isDeepStrictEqual(present.resource, resource) ? 'unchanged' : 'replace', key, mutation};
+	return {action: isDeepStrictEqual(current.resource, resource) ? 'unchanged' : 'replace', key, mutation};
 }
 
 /** What is gone already needs no deletion. */
-function planDelete(key: ResourceKey, present: StoredResource | undefined): Step {
-	return present === undefined
+function planDelete(key: ResourceKey, current: StoredResource | undefined): Step {
+	return current === undefined
 		? {action: 'unchanged', key, mutation: undefined}
-		: {action: 'delete', key, mutation: {type: 'delete', key, expected: present.metadata.version}};
+		: {action: 'delete', key, mutation: {type: 'delete', key, expected: current.metadata.version}};
 }
 
 function splitKey(text: string): [string, string] {
--- a/src/cli/commands/burn.ts
+++ b/src/cli/commands/burn.ts
@@ -3,25 +3,25 @@
 	burnReportSchema, burnWindowNames, type BurnReport, type ServiceBurn,
 } from '../../common/burn/types.ts';
 import {
-	formatOption, inSession, sessionOptions, tellAnswer, tellReadFailure,
+	formatOption, withSession, sessionOptions, printAnswer, reportReadFailure,
 } from '../session.ts';
 import {formatMilliseconds, formatTable} from '../table.ts';
 import {type CommandDefinition} from '../types.ts';
 
 export const burnCommand: CommandDefinition = {
 	usage: 'burn',
-	describe: 'Report how fast each service spends its error budget, gathered from all VMs, and what was spent on measuring. A burn rate of 1 spends the budget exactly by the end of its window.',
+	description: 'Report how fast each service spends its error budget, gathered from all VMs, and what was spent on measuring. A burn rate of 1 spends the budget exactly by the end of its window.',
 	options: [formatOption, ...sessionOptions],
 	examples: ['burn', 'burn --format json'],
-	async run(call) {
-		return inSession(call, async client => {
+	async run(context) {
+		return withSession(context, async client => {
 			const report = await client.request('GET', '/v1/burn', burnReportSchema);
-			return report.match(value => tellAnswer(call, value, () => linesOf(value)), value => tellReadFailure(call.terminal, value));
+			return report.match(value => printAnswer(context, value, () => formatReport(value)), value => reportReadFailure(context.terminal, value));
 		});
 	},
 };
 
-function linesOf(report: BurnReport): string[] {
+function formatReport(report: BurnReport): string[] {
 	const missing = report.vmsMissing.length === 0 ? '' : `; no answer from ${report.vmsMissing.join(', ')}`;
 	const summary = `counted on ${report.vmsCounted.length} VMs and ${report.copiesCounted} copies${missing}`;
 	if (report.services.length === 0) {
@@ -29,10 +29,10 @@
 	}
 
 	const headings = ['SERVICE', 'OBJECTIVE', ...burnWindowNames.map(name => `BURN ${name}`), 'BUDGET LEFT', 'KNOWN FOR', 'VERDICT', 'MEASURED', 'ALLOWED'];
-	return [...formatTable(headings, report.services.map(rowOf)), '', summary];
+	return [...formatTable(headings, report.services.map(formatService)), '', summary];
 }
 
-function rowOf(service: ServiceBurn): string[] {
+function formatService(service: ServiceBurn): string[] {
 	const longest = service.windows.at(-1);
 	return [
 		service.service,
--- a/src/cli/commands/delete.ts
+++ b/src/cli/commands/delete.ts
@@ -4,40 +4,40 @@
 import {changeOptions, sendChange} from '../change-sender.ts';
 import {type ExitCode} from '../exit-codes.ts';
 import {
-	formatOption, inSession, sessionOptions, tellReadFailure,
+	formatOption, withSession, sessionOptions, reportReadFailure,
 } from '../session.ts';
-import {type CommandCall, type CommandDefinition} from '../types.ts';
-import {readResourceKey} from './parameters.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {type CommandContext, type CommandDefinition} from '../types.ts';
+import {parseResourceKey} from './parameters.ts';
+import {reportInvalidInput} from './tell-wrong-input.ts';
 
 export const deleteCommand: CommandDefinition = {
 	usage: 'delete <kind> <name>',
-	describe: 'Delete a resource. If somebody changes it in between, nothing is changed.',
+	description: 'Delete a resource. If somebody changes it in between, nothing is changed.',
 	options: [
 		{
-			name: 'expected', value: 'VERSION', describe: 'Only if it is at this version (else the version that is in force now)', most: Number.MAX_SAFE_INTEGER,
+			name: 'expected', valueName: 'VERSION', description: 'Only if it is at this version (else the version that is in force now)', max: Number.MAX_SAFE_INTEGER,
 		},
 		...changeOptions,
 		formatOption,
 		...sessionOptions,
 	],
 	examples: ['delete backend-server ordering-3', 'delete service archive --expected 17 --note "moved"'],
-	async run(call) {
-		const [kind = '', name = ''] = call.parameters;
-		const key = readResourceKey(kind, name);
+	async run(context) {
+		const [kind = '', name = ''] = context.parameters;
+		const key = parseResourceKey(kind, name);
 		return key.isErr()
-			? tellWrongInput(call.terminal, key.error)
-			: inSession(call, async client => deleteResource(call, client, key.value, call.options.number('expected') ?? 0));
+			? reportInvalidInput(context.terminal, key.error)
+			: withSession(context, async client => deleteResource(context, client, key.value, context.options.number('expected') ?? 0));
 	},
 };
 
-async function deleteResource(call: CommandCall, client: ApiClient, key: ResourceKey, expected: number): Promise<ExitCode> {
+async function deleteResource(context: CommandContext, client: ApiClient, key: ResourceKey, expected: number): Promise<ExitCode> {
 	if (expected > 0) {
-		return sendChange(call, client, [{type: 'delete', key, expected}], key);
+		return sendChange(context, client, [{type: 'delete', key, expected}], key);
 	}
 
-	const present = await client.request('GET', `/v1/resources/${key}`, storedResourceSchema);
-	return present.isErr()
-		? tellReadFailure(call.terminal, present.error)
-		: sendChange(call, client, [{type: 'delete', key, expected: present.value.metadata.version}], key);
+	const current = await client.request('GET', `/v1/resources/${key}`, storedResourceSchema);
+	return current.isErr()
+		? reportReadFailure(context.terminal, current.error)
+		: sendChange(context, client, [{type: 'delete', key, expected: current.value.metadata.version}], key);
 }
--- a/src/cli/commands/edit.ts
+++ b/src/cli/commands/edit.ts
@@ -13,17 +13,17 @@
 import {changeOptions, sendChange} from '../change-sender.ts';
 import {type ExitCode} from '../exit-codes.ts';
 import {
-	formatOption, inSession, sessionOptions, tellReadFailure,
+	formatOption, withSession, sessionOptions, reportReadFailure,
 } from '../session.ts';
-import {type CommandCall, type CommandDefinition} from '../types.ts';
-import {readResourceKey} from './parameters.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {type CommandContext, type CommandDefinition} from '../types.ts';
+import {parseResourceKey} from './parameters.ts';
+import {reportInvalidInput} from './tell-wrong-input.ts';
 
 export const editCommand: CommandDefinition = {
 	usage: 'edit <kind> <name>',
-	describe: 'Set single fields of a resource. If somebody changes it in between, nothing is changed.',
+	description: 'Set single fields of a resource. If somebody changes it in between, nothing is changed.',
 	options: [
-		{name: 'set', value: 'FIELD=VALUE', describe: 'A field by its path and a value as in TOML; may stand several times'},
+		{name: 'set', valueName: 'FIELD=VALUE', description: 'A field by its path and a value as in TOML; may stand several times'},
 		...changeOptions,
 		formatOption,
 		...sessionOptions,
@@ -33,30 +33,30 @@
 		'edit service archive --set measuring.tailWeight=0.2 --set objective.successShare=0.995',
 		'edit backend-server ordering-3 --set isLeaving=true --wait 5',
 	],
-	async run(call) {
-		const [kind = '', name = ''] = call.parameters;
-		const key = readResourceKey(kind, name);
+	async run(context) {
+		const [kind = '', name = ''] = context.parameters;
+		const key = parseResourceKey(kind, name);
 		if (key.isErr()) {
-			return tellWrongInput(call.terminal, key.error);
+			return reportInvalidInput(context.terminal, key.error);
 		}
 
-		return call.options.texts('set').length === 0
-			? tellWrongInput(call.terminal, failure('wrong-parameter', 'nothing to set; allowed: --set FIELD=VALUE, once or several times', {field: '--set'}))
-			: inSession(call, async client => edit(call, client, key.value));
+		return context.options.texts('set').length === 0
+			? reportInvalidInput(context.terminal, failure('wrong-parameter', 'nothing to set; allowed: --set FIELD=VALUE, once or several times', {field: '--set'}))
+			: withSession(context, async client => edit(context, client, key.value));
 	},
 };
 
-async function edit(call: CommandCall, client: ApiClient, key: ResourceKey): Promise<ExitCode> {
-	const present = await client.request('GET', `/v1/resources/${key}`, storedResourceSchema);
-	if (present.isErr()) {
-		return tellReadFailure(call.terminal, present.error);
+async function edit(context: CommandContext, client: ApiClient, key: ResourceKey): Promise<ExitCode> {
+	const current = await client.request('GET', `/v1/resources/${key}`, storedResourceSchema);
+	if (current.isErr()) {
+		return reportReadFailure(context.terminal, current.error);
 	}
 
-	const {resource, metadata} = present.value;
-	const edited = setFields(resource, call.options.texts('set'));
+	const {resource, metadata} = current.value;
+	const edited = setFields(resource, context.options.texts('set'));
 	return edited.isErr()
-		? tellWrongInput(call.terminal, ...edited.error)
-		: sendChange(call, client, [{type: 'put', resource: edited.value, expected: metadata.version}], key);
+		? reportInvalidInput(context.terminal, ...edited.error)
+		: sendChange(context, client, [{type: 'put', resource: edited.value, expected: metadata.version}], key);
 }
 
 /** The resource with the fields set, checked as a whole. */
@@ -84,11 +84,11 @@
 		return [failure('not-allowed', `found ${JSON.stringify(assignment)}; allowed: FIELD=VALUE with a value as in TOML, such as priority=9 or name="a"`, {field: '--set'})];
 	}
 
-	const steps = path.split('.');
-	const last = steps.pop() ?? '';
+	const parents = path.split('.');
+	const last = parents.pop() ?? '';
 	let table: unknown = draft;
-	for (const step of steps) {
-		table = isTable(table) && Object.hasOwn(table, step) ? table[step] : undefined;
+	for (const parent of parents) {
+		table = isTable(table) && Object.hasOwn(table, parent) ? table[parent] : undefined;
 	}
 
 	if (!isTable(table) || last === '') {
--- a/src/cli/commands/get.ts
+++ b/src/cli/commands/get.ts
@@ -7,18 +7,18 @@
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {formatResource} from '../resource-files.ts';
 import {readAll} from '../resource-reader.ts';
-import {inSession, sessionOptions, tellReadFailure} from '../session.ts';
+import {withSession, sessionOptions, reportReadFailure} from '../session.ts';
 import {formatMilliseconds, formatTable} from '../table.ts';
-import {type CommandCall, type CommandDefinition} from '../types.ts';
+import {type CommandContext, type CommandDefinition} from '../types.ts';
 import {
-	readKind, readResourceKey, readWord, type ParameterFailure,
+	parseKind, parseResourceKey, parseChoice, type ParameterFailure,
 } from './parameters.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {reportInvalidInput} from './tell-wrong-input.ts';
 
 const formats = ['table', 'json', 'toml'] as const;
 type Format = (typeof formats)[number];
 
-type Question = {
+type GetRequest = {
 	/** Query of the list. */
 	readonly query: string;
 	/** The one resource asked for. */
@@ -28,27 +28,27 @@
 
 export const getCommand: CommandDefinition = {
 	usage: 'get [kind] [name]',
-	describe: 'Show resources in force on the VM that answers. One by name comes as TOML that apply takes back.',
+	description: 'Show resources in force on the VM that answers. One by name comes as TOML that apply takes back.',
 	options: [
 		{
-			name: 'format', value: 'FORMAT', describe: 'table, json or toml (else table for lists, toml for one)', choices: formats,
+			name: 'format', valueName: 'FORMAT', description: 'table, json or toml (else table for lists, toml for one)', choices: formats,
 		},
-		{name: 'service', value: 'NAME', describe: 'Only what belongs to this service'},
+		{name: 'service', valueName: 'NAME', description: 'Only what belongs to this service'},
 		...sessionOptions,
 	],
 	examples: ['get', 'get service', 'get --service ordering', 'get service ordering', 'get backend-server --format json'],
-	async run(call) {
-		const question = readQuestion(call);
-		return question.isErr()
-			? tellWrongInput(call.terminal, question.error)
-			: inSession(call, async client => answer(call, client, question.value));
+	async run(context) {
+		const request = parseRequest(context);
+		return request.isErr()
+			? reportInvalidInput(context.terminal, request.error)
+			: withSession(context, async client => getResources(context, client, request.value));
 	},
 };
 
-function readQuestion(call: CommandCall): Result<Question, ParameterFailure> {
-	const [kind, name] = call.parameters;
-	const format = readWord('--format', call.options.text('format') ?? (name === undefined ? 'table' : 'toml'), formats);
-	const service = call.options.text('service');
+function parseRequest(context: CommandContext): Result<GetRequest, ParameterFailure> {
+	const [kind, name] = context.parameters;
+	const format = parseChoice('--format', context.options.text('format') ?? (name === undefined ? 'table' : 'toml'), formats);
+	const service = context.options.text('service');
 	const filter = service === undefined ? '' : `&service=${encodeURIComponent(service)}`;
 	return format.andThen(value => {
 		if (kind === undefined) {
@@ -56,37 +56,37 @@
 		}
 
 		return name === undefined
-			? readKind(kind).map(found => ({query: `kind=${found}${filter}`, key: undefined, format: value}))
-			: readResourceKey(kind, name).map(key => ({query: '', key, format: value}));
+			? parseKind(kind).map(found => ({query: `kind=${found}${filter}`, key: undefined, format: value}))
+			: parseResourceKey(kind, name).map(key => ({query: '', key, format: value}));
 	});
 }
 
-async function answer(call: CommandCall, client: ApiClient, question: Question): Promise<ExitCode> {
-	const {terminal} = call;
-	if (question.key !== undefined) {
-		const one = await client.request('GET', `/v1/resources/${question.key}`, storedResourceSchema);
-		return one.match(stored => print(call, [stored], JSON.stringify(stored), question.format), value => tellReadFailure(terminal, value));
+async function getResources(context: CommandContext, client: ApiClient, request: GetRequest): Promise<ExitCode> {
+	const {terminal} = context;
+	if (request.key !== undefined) {
+		const one = await client.request('GET', `/v1/resources/${request.key}`, storedResourceSchema);
+		return one.match(stored => printItems(context, [stored], JSON.stringify(stored), request.format), value => reportReadFailure(terminal, value));
 	}
 
-	const list = await readAll(client, question.query);
+	const list = await readAll(client, request.query);
 	return list.match(value => {
-		if (value.isMixed) {
-			terminal.complain('the configuration changed while it was read: parts are of different versions');
+		if (value.hasMixedVersions) {
+			terminal.printError('the configuration changed while it was read: parts are of different versions');
 		}
 
-		return print(call, value.items, JSON.stringify({version: value.version, items: value.items}), question.format);
-	}, value => tellReadFailure(terminal, value));
+		return printItems(context, value.items, JSON.stringify({version: value.version, items: value.items}), request.format);
+	}, value => reportReadFailure(terminal, value));
 }
 
-function print(call: CommandCall, items: readonly StoredResource[], json: string, format: Format): ExitCode {
-	for (const line of linesOf(items, json, format)) {
-		call.terminal.print(line);
+function printItems(context: CommandContext, items: readonly StoredResource[], json: string, format: Format): ExitCode {
+	for (const line of formatItems(items, json, format)) {
+		context.terminal.print(line);
 	}
 
 	return exitCodes.done;
 }
 
-function linesOf(items: readonly StoredResource[], json: string, format: Format): readonly string[] {
+function formatItems(items: readonly StoredResource[], json: string, format: Format): readonly string[] {
 	if (format === 'json') {
 		return [json];
 	}
@@ -99,9 +99,9 @@
 	return tables.length === 0 ? ['nothing is declared'] : tables.flatMap((table, index) => index === 0 ? table : ['', ...table]);
 }
 
-type Of<Kind extends ResourceKind> = {readonly resource: Extract<Resource, {kind: Kind}>; readonly version: string};
+type ResourceRow<Kind extends ResourceKind> = {readonly resource: Extract<Resource, {kind: Kind}>; readonly version: string};
 
-function ofKind<Kind extends ResourceKind>(items: readonly StoredResource[], kind: Kind): Array<Of<Kind>> {
+function filterByKind<Kind extends ResourceKind>(items: readonly StoredResource[], kind: Kind): Array<ResourceRow<Kind>> {
 	return items.flatMap(({resource, metadata}) => isKind(resource, kind) ? [{resource, version: String(metadata.version)}] : []);
 }
 
@@ -110,7 +110,7 @@
 }
 
 function serviceTable(items: readonly StoredResource[]): string[] {
-	const rows = ofKind(items, 'service').map(({resource, version}) => [
+	const rows = filterByKind(items, 'service').map(({resource, version}) => [
 		resource.name,
 		formatMilliseconds(resource.timeoutMilliseconds),
 		String(resource.priority),
@@ -123,7 +123,7 @@
 }
 
 function backendServerTable(items: readonly StoredResource[]): string[] {
-	const rows = ofKind(items, 'backend-server').map(({resource, version}) => [
+	const rows = filterByKind(items, 'backend-server').map(({resource, version}) => [
 		resource.name,
 		resource.service,
 		`${resource.address}:${resource.port}`,
@@ -137,7 +137,7 @@
 }
 
 function sharingRuleTable(items: readonly StoredResource[]): string[] {
-	const rows = ofKind(items, 'sharing-rule').map(({resource, version}) => [
+	const rows = filterByKind(items, 'sharing-rule').map(({resource, version}) => [
 		resource.name,
 		resource.service,
 		String(resource.callerShare),
--- a/src/cli/commands/log-level.ts
+++ b/src/cli/commands/log-level.ts
@@ -4,38 +4,38 @@
 import {type ApiClient} from '../api-client.ts';
 import {type ExitCode} from '../exit-codes.ts';
 import {
-	formatOption, inSession, sessionOptions, tellAnswer, tellFailure, tellReadFailure,
+	formatOption, withSession, sessionOptions, printAnswer, reportFailure, reportReadFailure,
 } from '../session.ts';
-import {type CommandCall, type CommandDefinition} from '../types.ts';
-import {readWord} from './parameters.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {type CommandContext, type CommandDefinition} from '../types.ts';
+import {parseChoice} from './parameters.ts';
+import {reportInvalidInput} from './tell-wrong-input.ts';
 
 const levels = settingsSchema.shape.log.unwrap().shape.level.unwrap().options;
 
 export const logLevelCommand: CommandDefinition = {
 	usage: 'log-level [level]',
-	describe: `Show the log level of the VM that answers, or change it until its next start. Levels: ${levels.join(' ')}.`,
+	description: `Show the log level of the VM that answers, or change it until its next start. Levels: ${levels.join(' ')}.`,
 	options: [formatOption, ...sessionOptions],
 	examples: ['log-level', 'log-level debug --server http://10.0.0.2:7002'],
-	async run(call) {
-		const [wanted] = call.parameters;
-		if (wanted === undefined) {
-			return inSession(call, async client => show(call, client));
+	async run(context) {
+		const [requested] = context.parameters;
+		if (requested === undefined) {
+			return withSession(context, async client => showLevel(context, client));
 		}
 
-		const level = readWord('level', wanted, levels);
+		const level = parseChoice('level', requested, levels);
 		return level.isErr()
-			? tellWrongInput(call.terminal, level.error)
-			: inSession(call, async client => change(call, client, level.value));
+			? reportInvalidInput(context.terminal, level.error)
+			: withSession(context, async client => changeLevel(context, client, level.value));
 	},
 };
 
-async function show(call: CommandCall, client: ApiClient): Promise<ExitCode> {
+async function showLevel(context: CommandContext, client: ApiClient): Promise<ExitCode> {
 	const answer = await client.request('GET', '/v1/log-level', logLevelSchema);
-	return answer.match(value => tellAnswer(call, value, () => [value.level]), value => tellReadFailure(call.terminal, value));
+	return answer.match(value => printAnswer(context, value, () => [value.level]), value => reportReadFailure(context.terminal, value));
 }
 
-async function change(call: CommandCall, client: ApiClient, level: LogLevel): Promise<ExitCode> {
+async function changeLevel(context: CommandContext, client: ApiClient, level: LogLevel): Promise<ExitCode> {
 	const answer = await client.request('PUT', '/v1/log-level', logLevelSchema, {body: {level}});
-	return answer.match(value => tellAnswer(call, value, () => [value.level]), value => tellFailure(call.terminal, value));
+	return answer.match(value => printAnswer(context, value, () => [value.level]), value => reportFailure(context.terminal, value));
 }
--- a/src/cli/commands/parameters.ts
+++ b/src/cli/commands/parameters.ts
@@ -8,7 +8,7 @@
 export type ParameterFailure = Failure<'wrong-parameter'>;
 
 /** A kind of resource; the plural is understood too. */
-export function readKind(word: string): Result<ResourceKind, ParameterFailure> {
+export function parseKind(word: string): Result<ResourceKind, ParameterFailure> {
 	const kinds = resourceKindSchema.options;
 	const found = kinds.find(kind => word === kind || word === `${kind}s`);
 	if (found !== undefined) {
@@ -21,20 +21,20 @@
 }
 
 /** A resource by kind and name. */
-export function readResourceKey(kind: string, name: string): Result<ResourceKey, ParameterFailure> {
-	return readKind(kind).andThen(value => nameSchema.safeParse(name).success
+export function parseResourceKey(kind: string, name: string): Result<ResourceKey, ParameterFailure> {
+	return parseKind(kind).andThen(value => nameSchema.safeParse(name).success
 		? ok<ResourceKey, ParameterFailure>(`${value}/${name}`)
 		: err(failure('wrong-parameter', `found ${JSON.stringify(name)}; allowed: 1 to 63 lower-case letters, digits and dashes`, {field: 'name'})));
 }
 
 /** One of a few words. */
-export function readWord<Word extends string>(field: string, found: string | undefined, words: readonly Word[]): Result<Word, ParameterFailure> {
-	const word = words.find(candidate => candidate === found);
+export function parseChoice<Choice extends string>(field: string, found: string | undefined, choices: readonly Choice[]): Result<Choice, ParameterFailure> {
+	const word = choices.find(candidate => candidate === found);
 	if (word !== undefined) {
 		return ok(word);
 	}
 
-	const suggestion = closestName(found ?? '', words);
+	const suggestion = closestName(found ?? '', choices);
 	const hint = suggestion === undefined ? '' : `; did you mean "${suggestion}"?`;
-	return err(failure('wrong-parameter', `found ${JSON.stringify(found)}; allowed: ${words.join(', ')}${hint}`, {field}));
+	return err(failure('wrong-parameter', `found ${JSON.stringify(found)}; allowed: ${choices.join(', ')}${hint}`, {field}));
 }
--- a/src/cli/commands/serve.ts
+++ b/src/cli/commands/serve.ts
@@ -4,8 +4,8 @@
 import {loadSettings, loadTokens} from '../../node/settings/load-settings.ts';
 import {type ExitCode} from '../exit-codes.ts';
 import {type CommandDefinition} from '../types.ts';
-import {describeForPeople} from '../describe-for-people.ts';
-import {tellWrongInput} from './tell-wrong-input.ts';
+import {formatFailure} from '../describe-for-people.ts';
+import {reportInvalidInput} from './tell-wrong-input.ts';
 
 /** Runs the daemon until its planned stop has ended. Loaded when needed: the other commands start faster without it. */
 export type RunDaemon = (settings: Settings, tokens: readonly OperatorToken[]) => Promise<ExitCode>;
@@ -14,23 +14,23 @@
 export function serveCommand(runDaemon: RunDaemon): CommandDefinition {
 	return {
 		usage: 'serve',
-		describe: 'Run the balancer of one VM. SIGTERM, SIGINT or SIGHUP begins the planned stop, which cuts off no call.',
-		options: [{name: 'settings', value: 'FILE', describe: 'The VM\'s settings (TOML)'}],
+		description: 'Run the balancer of one VM. SIGTERM, SIGINT or SIGHUP begins the planned stop, which cuts off no call.',
+		options: [{name: 'settings', valueName: 'FILE', description: 'The VM\'s settings (TOML)'}],
 		examples: ['serve --settings /etc/jaydale/vm.toml'],
-		async run(call) {
-			const file = call.options.text('settings');
+		async run(context) {
+			const file = context.options.text('settings');
 			if (file === undefined) {
-				return tellWrongInput(call.terminal, failure('wrong-parameter', 'no settings; allowed: --settings FILE', {field: '--settings'}));
+				return reportInvalidInput(context.terminal, failure('wrong-parameter', 'no settings; allowed: --settings FILE', {field: '--settings'}));
 			}
 
 			const loaded = loadSettings(file).andThen(settings => loadTokens(settings.operators.tokensFile).map(tokens => ({settings, tokens})));
 			return loaded.isErr()
-				? tellWrongInput(call.terminal, ...loaded.error.map(cause => inFile(file, cause)))
+				? reportInvalidInput(context.terminal, ...loaded.error.map(cause => inFile(file, cause)))
 				: runDaemon(loaded.value.settings, loaded.value.tokens);
 		},
 	};
 }
 
 function inFile(file: string, cause: Failure<string>): Failure<string> {
-	return failure(cause.kind, describeForPeople(cause), {field: file});
+	return failure(cause.kind, formatFailure(cause), {field: file});
 }
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,25 +1,25 @@
 /** `jaydale status`: what one VM does and knows. */
 import {statusSchema, type Status} from '../../node/api/types.ts';
 import {
-	formatOption, inSession, sessionOptions, tellAnswer, tellReadFailure,
+	formatOption, withSession, sessionOptions, printAnswer, reportReadFailure,
 } from '../session.ts';
 import {formatMilliseconds, formatTable} from '../table.ts';
 import {type CommandDefinition} from '../types.ts';
 
 export const statusCommand: CommandDefinition = {
 	usage: 'status',
-	describe: 'Show the state of the VM that answers: configuration in force, contact with the platform, calls, backend servers.',
+	description: 'Show the state of the VM that answers: configuration in force, contact with the platform, calls, backend servers.',
 	options: [formatOption, ...sessionOptions],
 	examples: ['status', 'status --server http://10.0.0.2:7002', 'status --format json'],
-	async run(call) {
-		return inSession(call, async client => {
+	async run(context) {
+		return withSession(context, async client => {
 			const status = await client.request('GET', '/v1/status', statusSchema);
-			return status.match(value => tellAnswer(call, value, () => linesOf(value)), value => tellReadFailure(call.terminal, value));
+			return status.match(value => printAnswer(context, value, () => formatStatus(value)), value => reportReadFailure(context.terminal, value));
 		});
 	},
 };
 
-function linesOf(status: Status): string[] {
+function formatStatus(status: Status): string[] {
 	const isBehind = status.newestKnownVersion > status.version;
 	const pairs = [
 		['VM', `${status.name} in ${status.dataCentre} (${status.identity})`],
@@ -29,10 +29,10 @@
 		['share of budgets', status.shareSlot === null ? 'none: no measuring calls' : `slot ${status.shareSlot}`],
 		['calls', `${status.callsInFlight} in flight, ${status.callsQueued} queued`],
 	] as const;
-	return [...pairs.map(([name, value]) => `${name.padEnd(17)} ${value}`), '', ...backendServerLines(status)];
+	return [...pairs.map(([name, value]) => `${name.padEnd(17)} ${value}`), '', ...formatBackendServers(status)];
 }
 
-function backendServerLines(status: Status): string[] {
+function formatBackendServers(status: Status): string[] {
 	if (status.backendServers.length === 0) {
 		return ['no backend servers'];
 	}
--- a/src/cli/commands/tell-wrong-input.ts
+++ b/src/cli/commands/tell-wrong-input.ts
@@ -1,13 +1,13 @@
 /** Tells of input that is not allowed. */
 import {type Failure} from '../../common/errors/failure.ts';
-import {describeForPeople} from '../describe-for-people.ts';
+import {formatFailure} from '../describe-for-people.ts';
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {type Terminal} from '../types.ts';
 
 /** Prints each failure on its line and gives the exit code for wrong input. */
-export function tellWrongInput(terminal: Terminal, ...failures: ReadonlyArray<Failure<string>>): ExitCode {
+export function reportInvalidInput(terminal: Terminal, ...failures: ReadonlyArray<Failure<string>>): ExitCode {
 	for (const value of failures) {
-		terminal.complain(`jaydale: ${describeForPeople(value)}`);
+		terminal.printError(`jaydale: ${formatFailure(value)}`);
 	}
 
 	return exitCodes.wrongInput;
--- a/src/cli/commands/vm.ts
+++ b/src/cli/commands/vm.ts
@@ -1,25 +1,25 @@
 /** `jaydale vm`: the VMs of the system. */
 import {vmListSchema, vmStatusSchema, type VmStatus} from '../../node/api/types.ts';
 import {
-	formatOption, inSession, sessionOptions, tellAnswer, tellFailure, tellReadFailure,
+	formatOption, withSession, sessionOptions, printAnswer, reportFailure, reportReadFailure,
 } from '../session.ts';
 import {formatMilliseconds, formatTable} from '../table.ts';
 import {type CommandDefinition} from '../types.ts';
 
 export const vmListCommand: CommandDefinition = {
 	usage: 'vm list',
-	describe: 'List the VMs as the one that answers knows them, with the configuration version in force on each.',
+	description: 'List the VMs as the one that answers knows them, with the configuration version in force on each.',
 	options: [formatOption, ...sessionOptions],
 	examples: ['vm list', 'vm list --format json'],
-	async run(call) {
-		return inSession(call, async client => {
+	async run(context) {
+		return withSession(context, async client => {
 			const list = await client.request('GET', '/v1/vms', vmListSchema);
-			return list.match(value => tellAnswer(call, value, () => linesOf(value.vms)), value => tellReadFailure(call.terminal, value));
+			return list.match(value => printAnswer(context, value, () => formatVms(value.vms)), value => reportReadFailure(context.terminal, value));
 		});
 	},
 };
 
-function linesOf(vms: readonly VmStatus[]): string[] {
+function formatVms(vms: readonly VmStatus[]): string[] {
 	return formatTable(['ADDRESS', 'DATA CENTRE', 'STATE', 'VERSION', 'BEHIND', 'HEARD', 'IDENTITY'], vms.map(vm => [
 		vm.address,
 		vm.dataCentre,
@@ -33,16 +33,16 @@
 
 export const vmDrainCommand: CommandDefinition = {
 	usage: 'vm drain <vm>',
-	describe: 'Make a VM leave and then stop: no caller is sent there any more, and no call or download is cut off. Takes the address or identity from vm list.',
+	description: 'Make a VM leave and then stop: no caller is sent there any more, and no call or download is cut off. Takes the address or identity from vm list.',
 	options: [formatOption, ...sessionOptions],
 	examples: ['vm drain 10.0.0.2:7001', 'vm drain Zm9vYmFyYmF6cXV4MDEyMw'],
-	async run(call) {
-		const [vm = ''] = call.parameters;
-		return inSession(call, async client => {
+	async run(context) {
+		const [vm = ''] = context.parameters;
+		return withSession(context, async client => {
 			const outcome = await client.request('POST', `/v1/vms/${encodeURIComponent(vm)}/drain`, vmStatusSchema);
 			return outcome.match(
-				value => tellAnswer(call, value, () => [`${value.address} has been told to leave; "jaydale vm list" shows when it is gone`]),
-				value => tellFailure(call.terminal, value),
+				value => printAnswer(context, value, () => [`${value.address} has been told to leave; "jaydale vm list" shows when it is gone`]),
+				value => reportFailure(context.terminal, value),
 			);
 		});
 	},
--- a/src/cli/describe-changes.ts
+++ b/src/cli/describe-changes.ts
@@ -2,8 +2,8 @@
 import {type ChangeRecord} from '../node/api/types.ts';
 
 /** The first keys with what became of them, and how many more there are; `--format json` tells all. */
-export function describeChanges(record: ChangeRecord, most: number): string {
+export function formatChanges(record: ChangeRecord, maxListed: number): string {
 	const {changes} = record;
-	const listed = changes.slice(0, most).map(({action, key}) => `${action} ${key}`).join(', ');
-	return changes.length > most ? `${listed} and ${changes.length - most} more` : listed;
+	const listed = changes.slice(0, maxListed).map(({action, key}) => `${action} ${key}`).join(', ');
+	return changes.length > maxListed ? `${listed} and ${changes.length - maxListed} more` : listed;
 }
--- a/src/cli/process-terminal.ts
+++ b/src/cli/process-terminal.ts
@@ -18,17 +18,17 @@
 
 /** Makes a terminal that ends its signal on Ctrl-C. */
 export function processTerminal(): Terminal {
-	const interruption = new AbortController();
-	let isListening = false;
+	const interruptController = new AbortController();
+	let hasInterruptHandler = false;
 	// Whoever read the output has gone, as with `jaydale watch | head -1`: nobody is left to work for.
 	process.stdout.on('error', () => {
-		interruption.abort();
+		interruptController.abort();
 	});
 	return {
 		print(line) {
 			process.stdout.write(`${line}\n`);
 		},
-		complain(line) {
+		printError(line) {
 			process.stderr.write(`${line}\n`);
 		},
 		environment: process.env,
@@ -38,9 +38,9 @@
 			const answer = await sendRequest(url, request);
 			return {status: answer.statusCode, text: async () => answer.body.text()};
 		},
-		async pause(milliseconds) {
+		async sleep(milliseconds) {
 			try {
-				await pause(milliseconds, undefined, {signal: interruption.signal});
+				await pause(milliseconds, undefined, {signal: interruptController.signal});
 			} catch {
 				// Ended early by the signal; whoever waits looks at it.
 			}
@@ -48,15 +48,15 @@
 		now: () => performance.now(),
 		get signal() {
 			// Only commands that ask for it: the daemon has its own way to stop.
-			if (!isListening) {
-				isListening = true;
+			if (!hasInterruptHandler) {
+				hasInterruptHandler = true;
 				process.once('SIGINT', () => {
-					interruption.abort();
+					interruptController.abort();
 				});
 			}
 
-			return interruption.signal;
+			return interruptController.signal;
 		},
-		freshOperation: () => randomUUID(),
+		newOperationId: () => randomUUID(),
 	};
 }
--- a/src/cli/resource-files.ts
+++ b/src/cli/resource-files.ts
@@ -10,7 +10,7 @@
 } from '../common/model/resources.ts';
 import {inputFailures} from '../common/settings/schema-failures.ts';
 import {parseToml} from '../node/settings/load-settings.ts';
-import {describeForPeople} from './describe-for-people.ts';
+import {formatFailure} from './describe-for-people.ts';
 import {type Terminal} from './types.ts';
 
 const fileSchema = z.strictObject({
@@ -57,7 +57,7 @@
 }
 
 function inFile(path: string, fault: Failure<string>): FileFailure {
-	return failure('wrong-file', describeForPeople(fault), {field: path});
+	return failure('wrong-file', formatFailure(fault), {field: path});
 }
 
 function checkUnique(resources: Resource[]): Result<Resource[], FileFailure[]> {
--- a/src/cli/run.test.ts
+++ b/src/cli/run.test.ts
@@ -13,7 +13,7 @@
 import {Logging} from '../node/logging/logging.ts';
 import {noMetrics} from '../node/metrics/no-metrics.ts';
 import {allCommands, runCommandLine} from './run.ts';
-import {type HttpExchange, type Terminal} from './types.ts';
+import {type SendHttpRequest, type Terminal} from './types.ts';
 import {version} from './version.ts';
 
 const services = `
@@ -65,9 +65,9 @@
 		return this._lines;
 	}
 
-	async run(...given: string[]): Promise<void> {
-		this._lines.push(`$ jaydale ${given.join(' ')}`);
-		const code = await runCommandLine(given, version, this._terminal(), async () => 0);
+	async run(...argv: string[]): Promise<void> {
+		this._lines.push(`$ jaydale ${argv.join(' ')}`);
+		const code = await runCommandLine(argv, version, this._terminal(), async () => 0);
 		this._lines.push(`exit ${code}`);
 	}
 
@@ -76,25 +76,25 @@
 			print: line => {
 				this._lines.push(...line.split('\n'));
 			},
-			complain: line => {
+			printError: line => {
 				this._lines.push(`! ${line}`);
 			},
 			environment: this.environment,
 			readText: path => this.files.has(path) ? okAsync(this.files.get(path)!) : errAsync(failure('unreadable-file', 'the file cannot be read')),
-			exchange: this._exchange,
-			pause: async milliseconds => {
+			exchange: this._sendRequest,
+			sleep: async milliseconds => {
 				this._now += milliseconds;
 			},
 			now: () => this._now,
 			signal: new AbortController().signal,
-			freshOperation: () => {
+			newOperationId: () => {
 				this._operations++;
 				return `operation-${this._operations}`;
 			},
 		};
 	}
 
-	private readonly _exchange: HttpExchange = async (url, request) => {
+	private readonly _sendRequest: SendHttpRequest = async (url, request) => {
 		const {origin} = new URL(url);
 		if (this.refusing.has(origin)) {
 			throw new TypeError('fetch failed', {cause: Object.assign(new Error('connect ECONNREFUSED'), {code: 'ECONNREFUSED'})});
--- a/src/cli/run.ts
+++ b/src/cli/run.ts
@@ -1,7 +1,7 @@
 /** The command line as a function: arguments and a terminal in, an exit code out. */
 import sade from 'sade';
 import {
-	asksForHelp, checkArguments, findCommand, findOption, isOption, plainWords,
+	isHelpRequest, checkArguments, findCommand, findOption, isOption, positionalArguments,
 } from './check-arguments.ts';
 import {applyCommand} from './commands/apply.ts';
 import {burnCommand} from './commands/burn.ts';
@@ -15,7 +15,7 @@
 import {serveCommand, type RunDaemon} from './commands/serve.ts';
 import {settingsCheckCommand} from './commands/settings-check.ts';
 import {statusCommand} from './commands/status.ts';
-import {tellWrongInput} from './commands/tell-wrong-input.ts';
+import {reportInvalidInput} from './commands/tell-wrong-input.ts';
 import {vmDrainCommand, vmListCommand} from './commands/vm.ts';
 import {watchCommand} from './commands/watch.ts';
 import {exitCodes, type ExitCode} from './exit-codes.ts';
@@ -47,44 +47,44 @@
 }
 
 /** Runs the command that the arguments name; `given` leaves out the names of node and the program. */
-export async function runCommandLine(given: readonly string[], version: string, terminal: Terminal, runDaemon: RunDaemon): Promise<ExitCode> {
+export async function runCommandLine(argv: readonly string[], version: string, terminal: Terminal, runDaemon: RunDaemon): Promise<ExitCode> {
 	const definitions = allCommands(runDaemon);
-	if (asksForHelp(given)) {
-		return help(given, definitions, version, terminal);
+	if (isHelpRequest(argv)) {
+		return help(argv, definitions, version, terminal);
 	}
 
-	const checked = checkArguments(given, definitions);
+	const checked = checkArguments(argv, definitions);
 	if (checked.isErr()) {
-		terminal.complain(`${programName}: ${checked.error.message}`);
-		terminal.complain(`"${programName} --help" tells more`);
+		terminal.printError(`${programName}: ${checked.error.message}`);
+		terminal.printError(`"${programName} --help" tells more`);
 		return exitCodes.wrongInput;
 	}
 
 	const definition = checked.value;
-	const {parameters, values} = parse(given, definition, describeProgram(definitions, version));
+	const {parameters, values} = parse(argv, definition, buildProgram(definitions, version));
 	return definition.run({parameters, options: new Options(values), terminal});
 }
 
 /** sade writes the help; a word that is no command is told here, because sade would end the process. */
-function help(given: readonly string[], definitions: readonly CommandDefinition[], version: string, terminal: Terminal): ExitCode {
-	const words = plainWords(given, definitions.flatMap(definition => definition.options));
+function help(argv: readonly string[], definitions: readonly CommandDefinition[], version: string, terminal: Terminal): ExitCode {
+	const words = positionalArguments(argv, definitions.flatMap(definition => definition.options));
 	if (words.length > 0) {
 		const found = findCommand(words, definitions);
 		if (found.isErr()) {
-			return tellWrongInput(terminal, found.error);
+			return reportInvalidInput(terminal, found.error);
 		}
 	}
 
-	describeProgram(definitions, version).parse(['node', programName, ...given]);
+	buildProgram(definitions, version).parse(['node', programName, ...argv]);
 	return exitCodes.done;
 }
 
-function describeProgram(definitions: readonly CommandDefinition[], version: string): sade.Sade {
+function buildProgram(definitions: readonly CommandDefinition[], version: string): sade.Sade {
 	const program = sade(programName).version(version);
 	for (const definition of definitions) {
-		program.command(definition.usage, definition.describe);
+		program.command(definition.usage, definition.description);
 		for (const option of definition.options) {
-			program.option(flagsOf(option), `${option.describe}${option.value === undefined ? '' : ` [${option.value}]`}`, option.fallback);
+			program.option(flagsOf(option), `${option.description}${option.valueName === undefined ? '' : ` [${option.valueName}]`}`, option.defaultValue);
 		}
 
 		for (const example of definition.examples) {
@@ -102,27 +102,27 @@
 	return option.short === undefined ? `--${option.name}` : `-${option.short}, --${option.name}`;
 }
 
-type Parsed = {readonly parameters: ReadonlyArray<string | undefined>; readonly values: ConstructorParameters<typeof Options>[0]};
+type ParsedArguments = {readonly parameters: ReadonlyArray<string | undefined>; readonly values: ConstructorParameters<typeof Options>[0]};
 
-function parse(given: readonly string[], definition: CommandDefinition, program: sade.Sade): Parsed {
-	const withValue = definition.options.filter(option => option.value !== undefined).flatMap(namesOf);
-	const switches = definition.options.filter(option => option.value === undefined).flatMap(namesOf);
-	const lazy = program.parse(['node', programName, ...joinValues(given, definition.options)], {lazy: true, string: withValue, boolean: switches});
-	const [values, ...reversed] = [...lazy.args].toReversed();
-	return {parameters: reversed.toReversed(), values: asValues(values)};
+function parse(argv: readonly string[], definition: CommandDefinition, program: sade.Sade): ParsedArguments {
+	const withValue = definition.options.filter(option => option.valueName !== undefined).flatMap(namesOf);
+	const switches = definition.options.filter(option => option.valueName === undefined).flatMap(namesOf);
+	const parsed = program.parse(['node', programName, ...joinOptionValues(argv, definition.options)], {lazy: true, string: withValue, boolean: switches});
+	const [values, ...reversed] = [...parsed.args].toReversed();
+	return {parameters: reversed.toReversed(), values: toOptionValues(values)};
 }
 
 /** Writes `-f VALUE` as `--file=VALUE`: sade's parser takes no value that begins with a dash, such as `-f -`. */
-function joinValues(given: readonly string[], options: readonly OptionDefinition[]): string[] {
+function joinOptionValues(argv: readonly string[], options: readonly OptionDefinition[]): string[] {
 	const joined: string[] = [];
-	for (let index = 0; index < given.length; index++) {
-		const word = given[index]!;
+	for (let index = 0; index < argv.length; index++) {
+		const word = argv[index]!;
 		const option = isOption(word) && !word.includes('=') ? findOption(word, options) : undefined;
-		if (option?.value === undefined) {
+		if (option?.valueName === undefined) {
 			joined.push(word);
 		} else {
 			index++;
-			joined.push(`--${option.name}=${given[index]}`);
+			joined.push(`--${option.name}=${argv[index]}`);
 		}
 	}
 
@@ -134,7 +134,7 @@
 }
 
 /** sade's types call every argument a string; the last one is the table of options. */
-function asValues(values: unknown): Parsed['values'] {
+function toOptionValues(values: unknown): ParsedArguments['values'] {
 	return typeof values === 'object' && values !== null ? {...values} : {};
 }
 
--- a/src/cli/session.ts
+++ b/src/cli/session.ts
@@ -4,87 +4,87 @@
 import {problemTypePrefix} from '../common/protocol/headers.ts';
 import {type Problem} from '../node/api/types.ts';
 import {ApiClient, type ClientFailure} from './api-client.ts';
-import {describeForPeople} from './describe-for-people.ts';
+import {formatFailure} from './describe-for-people.ts';
 import {exitCodes, type ExitCode} from './exit-codes.ts';
-import {type CommandCall, type OptionDefinition, type Terminal} from './types.ts';
+import {type CommandContext, type OptionDefinition, type Terminal} from './types.ts';
 
 export type SessionFailure = Failure<'no-token' | 'wrong-server' | 'unreadable-file'>;
 
-const usualServer = 'http://127.0.0.1:7002';
+const defaultServer = 'http://127.0.0.1:7002';
 
 /** Options of every command that talks to a VM. */
 export const sessionOptions: readonly OptionDefinition[] = [
-	{name: 'server', value: 'URLS', describe: `Resource APIs to try, separated by commas (else JAYDALE_SERVER, else ${usualServer})`},
-	{name: 'token-file', value: 'FILE', describe: 'File that holds the token alone (else JAYDALE_TOKEN_FILE, else JAYDALE_TOKEN)'},
+	{name: 'server', valueName: 'URLS', description: `Resource APIs to try, separated by commas (else JAYDALE_SERVER, else ${defaultServer})`},
+	{name: 'token-file', valueName: 'FILE', description: 'File that holds the token alone (else JAYDALE_TOKEN_FILE, else JAYDALE_TOKEN)'},
 ];
 
 /** The option that chooses between tables and JSON. */
 export const formatOption: OptionDefinition = {
-	name: 'format', value: 'FORMAT', describe: 'table or json', fallback: 'table', choices: ['table', 'json'],
+	name: 'format', valueName: 'FORMAT', description: 'table or json', defaultValue: 'table', choices: ['table', 'json'],
 };
 
 /** A client for the VMs and operator that the options and environment name. */
-export function openSession(call: CommandCall): ResultAsync<ApiClient, SessionFailure> {
-	const {options, terminal} = call;
-	const servers = (options.text('server') ?? terminal.environment.JAYDALE_SERVER ?? usualServer).split(',');
-	const wrong = servers.find(server => !/^https?:\/\/[^\/\s]+\/?$/v.test(server));
-	if (wrong !== undefined) {
-		return errAsync(failure('wrong-server', `found ${JSON.stringify(wrong)}; allowed: an address such as ${usualServer}`, {field: '--server'}));
+export function openSession(context: CommandContext): ResultAsync<ApiClient, SessionFailure> {
+	const {options, terminal} = context;
+	const servers = (options.text('server') ?? terminal.environment.JAYDALE_SERVER ?? defaultServer).split(',');
+	const invalidServer = servers.find(server => !/^https?:\/\/[^\/\s]+\/?$/v.test(server));
+	if (invalidServer !== undefined) {
+		return errAsync(failure('wrong-server', `found ${JSON.stringify(invalidServer)}; allowed: an address such as ${defaultServer}`, {field: '--server'}));
 	}
 
-	return findToken(call).map(token => new ApiClient(servers.map(server => server.replace(/\/$/v, '')), token, terminal));
+	return findToken(context).map(token => new ApiClient(servers.map(server => server.replace(/\/$/v, '')), token, terminal));
 }
 
 /** Runs a command's work within a session; a failure to open one is wrong input. */
-export async function inSession(call: CommandCall, work: (client: ApiClient) => Promise<ExitCode>): Promise<ExitCode> {
-	const session = await openSession(call);
+export async function withSession(context: CommandContext, action: (client: ApiClient) => Promise<ExitCode>): Promise<ExitCode> {
+	const session = await openSession(context);
 	if (session.isErr()) {
-		call.terminal.complain(`jaydale: ${describeForPeople(session.error)}`);
+		context.terminal.printError(`jaydale: ${formatFailure(session.error)}`);
 		return exitCodes.wrongInput;
 	}
 
-	return work(session.value);
+	return action(session.value);
 }
 
 /** Prints an answer in the format asked for. */
-export function tellAnswer(call: CommandCall, value: unknown, toLines: () => readonly string[]): ExitCode {
-	const lines = call.options.text('format') === 'json' ? [JSON.stringify(value)] : toLines();
+export function printAnswer(context: CommandContext, value: unknown, toLines: () => readonly string[]): ExitCode {
+	const lines = context.options.text('format') === 'json' ? [JSON.stringify(value)] : toLines();
 	for (const line of lines) {
-		call.terminal.print(line);
+		context.terminal.print(line);
 	}
 
 	return exitCodes.done;
 }
 
 /** Tells a failure and gives its exit code. */
-export function tellFailure(terminal: Terminal, value: ClientFailure): ExitCode {
+export function reportFailure(terminal: Terminal, value: ClientFailure): ExitCode {
 	if (value.kind !== 'problem') {
-		terminal.complain(`jaydale: ${value.message}`);
+		terminal.printError(`jaydale: ${value.message}`);
 		return value.kind === 'no-answer' ? exitCodes.unknown : exitCodes.failed;
 	}
 
 	const {problem} = value;
-	terminal.complain(`jaydale: ${problem.title}: ${problem.detail}`);
+	terminal.printError(`jaydale: ${problem.title}: ${problem.detail}`);
 	for (const fault of problem.faults ?? []) {
-		terminal.complain(`  ${fault.field === '' ? '' : `${fault.field}: `}${fault.message}`);
+		terminal.printError(`  ${fault.field === '' ? '' : `${fault.field}: `}${fault.message}`);
 	}
 
 	if (problem.winner !== undefined) {
 		const {key, version, operator} = problem.winner;
 		const who = operator ?? 'an operator whose name the history no longer holds';
-		terminal.complain(version === 0 ? `  ${key} is gone, by ${who}` : `  ${key} is at version ${version}, by ${who}; read it and decide again`);
+		terminal.printError(version === 0 ? `  ${key} is gone, by ${who}` : `  ${key} is at version ${version}, by ${who}; read it and decide again`);
 	}
 
-	return problemExitCode(problem);
+	return exitCodeOf(problem);
 }
 
 /** As `tellFailure` for a read: an answer that did not come changed nothing. */
-export function tellReadFailure(terminal: Terminal, value: ClientFailure): ExitCode {
-	const code = tellFailure(terminal, value);
+export function reportReadFailure(terminal: Terminal, value: ClientFailure): ExitCode {
+	const code = reportFailure(terminal, value);
 	return code === exitCodes.unknown ? exitCodes.failed : code;
 }
 
-function problemExitCode(problem: Problem): ExitCode {
+function exitCodeOf(problem: Problem): ExitCode {
 	const codes: Readonly<Record<string, ExitCode>> = {
 		'invalid-input': exitCodes.wrongInput,
 		'too-large': exitCodes.wrongInput,
@@ -98,11 +98,11 @@
 }
 
 /** The token never stands on the command line, where other users of the machine could read it. */
-function findToken(call: CommandCall): ResultAsync<string, SessionFailure> {
-	const {environment} = call.terminal;
-	const file = call.options.text('token-file') ?? environment.JAYDALE_TOKEN_FILE;
+function findToken(context: CommandContext): ResultAsync<string, SessionFailure> {
+	const {environment} = context.terminal;
+	const file = context.options.text('token-file') ?? environment.JAYDALE_TOKEN_FILE;
 	if (file !== undefined) {
-		return call.terminal.readText(file).map(content => content.trim());
+		return context.terminal.readText(file).map(content => content.trim());
 	}
 
 	const token = environment.JAYDALE_TOKEN;
--- a/src/cli/types.ts
+++ b/src/cli/types.ts
@@ -5,18 +5,18 @@
 import {type ExitCode} from './exit-codes.ts';
 
 /** An HTTP answer, as far as the command line looks at it. */
-export type HttpAnswer = {
+export type HttpResponse = {
 	readonly status: number;
 	text(): Promise<string>;
 };
 
 /** Sends one HTTP request; rejects when no answer came. */
-export type HttpExchange = (url: string, request: {
+export type SendHttpRequest = (url: string, request: {
 	readonly method: string;
 	readonly headers: Record<string, string>;
 	readonly body?: string;
 	readonly signal?: AbortSignal;
-}) => Promise<HttpAnswer>;
+}) => Promise<HttpResponse>;
 
 export type ReadFailure = Failure<'unreadable-file'>;
 
@@ -25,19 +25,19 @@
 	/** A line to standard output. */
 	print(line: string): void;
 	/** A line to standard error. */
-	complain(line: string): void;
+	printError(line: string): void;
 	readonly environment: Readonly<Record<string, string | undefined>>;
 	/** Reads a file, or standard input for `-`. */
 	readText(path: string): ResultAsync<string, ReadFailure>;
-	readonly exchange: HttpExchange;
+	readonly exchange: SendHttpRequest;
 	/** Waits; ends early when the signal does. */
-	pause(milliseconds: number): Promise<void>;
+	sleep(milliseconds: number): Promise<void>;
 	/** Milliseconds on a monotonic clock. */
 	now(): number;
 	/** Ends on Ctrl-C. */
 	readonly signal: AbortSignal;
 	/** A new operation identity. */
-	freshOperation(): string;
+	newOperationId(): string;
 };
 
 /** An option of a command. */
@@ -45,17 +45,17 @@
 	readonly name: string;
 	readonly short?: string;
 	/** What stands for its value in the help; left out = a switch without value. */
-	readonly value?: string;
-	readonly describe: string;
-	readonly fallback?: string;
+	readonly valueName?: string;
+	readonly description: string;
+	readonly defaultValue?: string;
 	/** A whole number from 0 on, at most this. */
-	readonly most?: number;
+	readonly max?: number;
 	/** The only values allowed. */
 	readonly choices?: readonly string[];
 };
 
 /** One run of a command. */
-export type CommandCall = {
+export type CommandContext = {
 	/** In the order of the usage; optional ones may be undefined. */
 	readonly parameters: ReadonlyArray<string | undefined>;
 	readonly options: Options;
@@ -66,8 +66,8 @@
 export type CommandDefinition = {
 	/** Words of the command, then `<required>` and `[optional]` parameters. */
 	readonly usage: string;
-	readonly describe: string;
+	readonly description: string;
 	readonly options: readonly OptionDefinition[];
 	readonly examples: readonly string[];
-	run(call: CommandCall): Promise<ExitCode>;
+	run(context: CommandContext): Promise<ExitCode>;
 };
--- a/src/demo/demo-fleet.ts
+++ b/src/demo/demo-fleet.ts
@@ -10,7 +10,7 @@
 import {ChildProgram} from '../stand-ins/child-program.ts';
 import {freePorts} from '../stand-ins/free-ports.ts';
 import {standInClient} from '../stand-ins/stand-in-client.ts';
-import {allResources, onThisMachine, readExample} from './example-resources.ts';
+import {allResources, toLocalBackendServer, readExample} from './example-resources.ts';
 import {OperatorClient} from './operator-client.ts';
 import {
 	exampleToken, exampleTokensFile, type VmPlan, writeVmSettings,
@@ -29,32 +29,32 @@
 export type DemoCaller = {readonly service: Service; readonly port: number; readonly program: ChildProgram};
 
 /** How a service is called. */
-type Traffic = {readonly rate: number; readonly orders: number; readonly work: number; readonly downloadEvery: number};
+type Traffic = {readonly callsPerSecond: number; readonly orderShare: number; readonly workMilliseconds: number; readonly downloadEvery: number};
 
 const customers = ['baltmor', 'cometa-alta'];
 const dataCentres = ['gdansk-1', 'gdansk-2', 'gdansk-3'];
-const trafficOfService: Readonly<Record<string, Traffic>> = {
+const trafficByService: Readonly<Record<string, Traffic>> = {
 	spectrum: {
-		rate: 150, orders: 0, work: 4, downloadEvery: 0,
+		callsPerSecond: 150, orderShare: 0, workMilliseconds: 4, downloadEvery: 0,
 	},
 	schedules: {
-		rate: 150, orders: 0, work: 4, downloadEvery: 0,
+		callsPerSecond: 150, orderShare: 0, workMilliseconds: 4, downloadEvery: 0,
 	},
 	ordering: {
-		rate: 40, orders: 0.8, work: 10, downloadEvery: 0,
+		callsPerSecond: 40, orderShare: 0.8, workMilliseconds: 10, downloadEvery: 0,
 	},
 	payments: {
-		rate: 40, orders: 0.8, work: 10, downloadEvery: 0,
+		callsPerSecond: 40, orderShare: 0.8, workMilliseconds: 10, downloadEvery: 0,
 	},
 	documents: {
-		rate: 10, orders: 0, work: 5, downloadEvery: 2,
+		callsPerSecond: 10, orderShare: 0, workMilliseconds: 5, downloadEvery: 2,
 	},
 	archive: {
-		rate: 10, orders: 0, work: 5, downloadEvery: 2,
+		callsPerSecond: 10, orderShare: 0, workMilliseconds: 5, downloadEvery: 2,
 	},
 };
 const downloadBytes = 2_000_000;
-const setUpLimitMilliseconds = 30_000;
+const setUpTimeoutMilliseconds = 30_000;
 const pollMilliseconds = 50;
 const keepForMilliseconds = 1000;
 
@@ -99,19 +99,19 @@
 
 		const resources = examples.flatMap(example => allResources(example, this.backendServers.map(({resource}) => resource)
 			.filter(resource => example.services.some(service => service.name === resource.service))));
-		const accepted = await this.vms[0]!.operator.putAll(resources, 'the demo\'s services', setUpLimitMilliseconds, () => this.vms.every(vm => vm.program.exitCode === undefined));
+		const accepted = await this.vms[0]!.operator.putAll(resources, 'the demo\'s services', setUpTimeoutMilliseconds, () => this.vms.every(vm => vm.program.exitCode === undefined));
 		if (accepted.isErr()) {
 			return this._fail(accepted.error.message);
 		}
 
-		return this._waitInForce(accepted.value);
+		return this._waitUntilInForce(accepted.value);
 	}
 
 	/** Starts one caller process for each service. */
 	async startCallers(): Promise<Result<void, DemoFailure>> {
 		const seeds = this.vms.map(vm => `127.0.0.1:${vm.plan.callPort}`).join(',');
 		const started = await Promise.all(this.services.map(async service => {
-			const traffic = trafficOfService[service.name]!;
+			const traffic = trafficByService[service.name]!;
 			const program = await this._start('src/stand-ins/caller/main', [
 				'--seeds',
 				seeds,
@@ -120,11 +120,11 @@
 				'--service',
 				service.name,
 				'--rate',
-				String(traffic.rate),
+				String(traffic.callsPerSecond),
 				'--orders',
-				String(traffic.orders),
+				String(traffic.orderShare),
 				'--work',
-				String(traffic.work),
+				String(traffic.workMilliseconds),
 				'--download-every',
 				String(traffic.downloadEvery),
 				'--download-bytes',
@@ -149,7 +149,7 @@
 	}
 
 	/** What the daemons last wrote for people, for a report of a failure. */
-	daemonErrors(): string {
+	daemonErrorLines(): string {
 		return this.vms.map(vm => `${vm.plan.name}: ${vm.program.lastErrors}`).join('\n');
 	}
 
@@ -177,9 +177,9 @@
 	private async _startBackendServers(services: readonly Service[], resources: readonly BackendServer[]): Promise<Result<void, DemoFailure>> {
 		const started = await Promise.all(services.map(async service => {
 			const ofService = resources.filter(resource => resource.service === service.name);
-			const alone = await this._startGroup(ofService.slice(0, 1));
-			const rest = await this._startGroup(ofService.slice(1));
-			return alone.andThen(first => rest.map(others => [...first, ...others]));
+			const firstGroup = await this._startGroup(ofService.slice(0, 1));
+			const remainingGroup = await this._startGroup(ofService.slice(1));
+			return firstGroup.andThen(first => remainingGroup.map(others => [...first, ...others]));
 		}));
 		for (const group of started) {
 			if (group.isErr()) {
@@ -196,7 +196,7 @@
 		const slots = resources[0]?.slots ?? 1;
 		const started = await this._start('src/stand-ins/backend-server/main', ['--count', String(resources.length), '--slots', String(slots)]);
 		return started.map(({program, ports}) => resources.map((resource, index) => ({
-			resource: onThisMachine(resource, ports[index]!, dataCentres), port: ports[index]!, program,
+			resource: toLocalBackendServer(resource, ports[index]!, dataCentres), port: ports[index]!, program,
 		})));
 	}
 
@@ -208,8 +208,8 @@
 			.mapErr(cause => failure('not-set-up', cause.message, {cause}));
 	}
 
-	private async _waitInForce(version: number): Promise<Result<number, DemoFailure>> {
-		const deadline = performance.now() + setUpLimitMilliseconds;
+	private async _waitUntilInForce(version: number): Promise<Result<number, DemoFailure>> {
+		const deadline = performance.now() + setUpTimeoutMilliseconds;
 		while (performance.now() < deadline) {
 			const versions = await Promise.all(this.vms.map(async vm => vm.operator.versionInForce()));
 			if (versions.every(inForce => (inForce ?? 0) >= version)) {
@@ -223,6 +223,6 @@
 	}
 
 	private _fail(message: string): Result<never, DemoFailure> {
-		return err(failure('not-set-up', `${message}\n${this.daemonErrors()}`));
+		return err(failure('not-set-up', `${message}\n${this.daemonErrorLines()}`));
 	}
 }
--- a/src/demo/demo-run.ts
+++ b/src/demo/demo-run.ts
@@ -5,7 +5,7 @@
 import {standInClient} from '../stand-ins/stand-in-client.ts';
 import {type DemoBackendServer, type DemoFleet} from './demo-fleet.ts';
 import {type ServiceFigures, serviceTable, verdictLine} from './demo-report.ts';
-import {judge, type Verdict} from './oracle.ts';
+import {checkCalls, type Verdict} from './oracle.ts';
 
 /** What the user asked for. */
 export type DemoOptions = {
@@ -15,14 +15,14 @@
 };
 
 /** Parts of the run after which something happens. */
-const leavingAt = 0.3;
-const platformKilledAt = 0.4;
-const stopAt = 0.5;
+const drainAtShare = 0.3;
+const killPlatformAtShare = 0.4;
+const stopAtShare = 0.5;
 const progressMilliseconds = 1000;
-const lastCallsMilliseconds = 15_000;
-const stopLimitMilliseconds = 30_000;
+const callsTimeoutMilliseconds = 15_000;
+const stopTimeoutMilliseconds = 30_000;
 
-type Step = {readonly at: number; readonly run: () => Promise<void>};
+type Step = {readonly atShare: number; readonly run: () => Promise<void>};
 
 /** Runs on a fleet that is set up. */
 export class DemoRun {
@@ -36,47 +36,47 @@
 		this._fleet = fleet;
 		this._options = options;
 		this._steps = [
-			{at: leavingAt, run: async () => this._beginToLeave()},
-			{at: stopAt, run: async () => this._stopDaemon()},
+			{atShare: drainAtShare, run: async () => this._startDraining()},
+			{atShare: stopAtShare, run: async () => this._stopDaemon()},
 		];
 		if (options.killsPlatform) {
-			this._steps.push({at: platformKilledAt, run: async () => this._killPlatform()});
+			this._steps.push({atShare: killPlatformAtShare, run: async () => this._killPlatform()});
 		}
 	}
 
 	/** The whole course; true = nothing wrong, lost or run twice. */
 	async run(): Promise<boolean> {
-		while (this._share() < 1) {
-			await delay(Math.min(progressMilliseconds, Math.max(1, (1 - this._share()) * this._options.seconds * 1000)));
+		while (this._elapsedShare() < 1) {
+			await delay(Math.min(progressMilliseconds, Math.max(1, (1 - this._elapsedShare()) * this._options.seconds * 1000)));
 			await this._runDueSteps();
 			await this._printProgress();
 		}
 
 		await this._runDueSteps();
-		await this._endCalls();
+		await this._finishCalls();
 		await this._stopping;
 		return this._report();
 	}
 
-	private _share(): number {
+	private _elapsedShare(): number {
 		return (performance.now() - this._startedAt) / (this._options.seconds * 1000);
 	}
 
 	private async _runDueSteps(): Promise<void> {
-		const share = this._share();
-		for (const step of this._steps.filter(({at}) => at <= share)) {
+		const share = this._elapsedShare();
+		for (const step of this._steps.filter(({atShare}) => atShare <= share)) {
 			this._steps.splice(this._steps.indexOf(step), 1);
 			await step.run();
 		}
 	}
 
-	private get _leaving(): DemoBackendServer {
+	private get _drainingServer(): DemoBackendServer {
 		return this._fleet.backendServers[0]!;
 	}
 
-	private async _beginToLeave(): Promise<void> {
-		this._options.print(`backend server ${this._leaving.resource.name} begins to leave`);
-		await standInClient.orderBackendServer(this._leaving.port, {isDraining: true});
+	private async _startDraining(): Promise<void> {
+		this._options.print(`backend server ${this._drainingServer.resource.name} begins to leave`);
+		await standInClient.orderBackendServer(this._drainingServer.port, {isDraining: true});
 	}
 
 	private async _killPlatform(): Promise<void> {
@@ -91,7 +91,7 @@
 		this._options.print(`${vm.plan.name} is told to stop`);
 		const since = performance.now();
 		this._stopping = (async () => {
-			const code = await vm.program.stop(stopLimitMilliseconds);
+			const code = await vm.program.stop(stopTimeoutMilliseconds);
 			const seconds = ((performance.now() - since) / 1000).toFixed(1);
 			this._options.print(code === undefined ? `${vm.plan.name} did not end in time and was killed` : `${vm.plan.name} ended with ${code} after ${seconds} s`);
 		})();
@@ -115,9 +115,9 @@
 		this._options.print(`${seconds}/${this._options.seconds} s: ${calls}, ${others}`);
 	}
 
-	private async _endCalls(): Promise<void> {
+	private async _finishCalls(): Promise<void> {
 		await Promise.all(this._fleet.callers.map(async caller => standInClient.stopCaller(caller.port)));
-		const deadline = performance.now() + lastCallsMilliseconds;
+		const deadline = performance.now() + callsTimeoutMilliseconds;
 		while (performance.now() < deadline) {
 			const reports = await this._reports();
 			if (reports.every(report => report.inFlight === 0)) {
@@ -143,19 +143,19 @@
 				seconds,
 			};
 		});
-		const verdict = judge(reports, records.flat());
+		const verdict = checkCalls(reports, records.flat());
 		this._options.print(`\n${serviceTable(figures)}\n`);
-		this._printLeaving(records[0]!);
+		this._printCallsAfterDrain(records[0]!);
 		this._printFindings(verdict);
 		this._options.print(verdictLine(verdict));
 		return verdict.wrong === 0 && verdict.lost === 0 && verdict.runTwice === 0;
 	}
 
-	private _printLeaving(records: readonly CallRecord[]): void {
-		const late = records.flatMap(record => record.millisecondsIntoDrain ?? []);
-		this._options.print(late.length === 0
-			? `${this._leaving.resource.name} got no new call after it began to leave`
-			: `${this._leaving.resource.name} got ${late.length} new calls after it began to leave, the last after ${Math.max(...late).toFixed(0)} ms`);
+	private _printCallsAfterDrain(records: readonly CallRecord[]): void {
+		const delays = records.flatMap(record => record.millisecondsIntoDrain ?? []);
+		this._options.print(delays.length === 0
+			? `${this._drainingServer.resource.name} got no new call after it began to leave`
+			: `${this._drainingServer.resource.name} got ${delays.length} new calls after it began to leave, the last after ${Math.max(...delays).toFixed(0)} ms`);
 	}
 
 	private _printFindings(verdict: Verdict): void {
@@ -164,7 +164,7 @@
 		}
 
 		if (verdict.findings.length > 0) {
-			this._options.print(this._fleet.daemonErrors());
+			this._options.print(this._fleet.daemonErrorLines());
 		}
 	}
 }
--- a/src/demo/example-resources.ts
+++ b/src/demo/example-resources.ts
@@ -35,7 +35,7 @@
 }
 
 /** The backend server at its port on this machine; the example's data centres map to the demo's by their number. */
-export function onThisMachine(server: BackendServer, port: number, dataCentres: readonly string[]): BackendServer {
+export function toLocalBackendServer(server: BackendServer, port: number, dataCentres: readonly string[]): BackendServer {
 	const number = Number(/\d+$/v.exec(server.dataCentre)?.[0] ?? 1);
 	return {
 		...server, address: '127.0.0.1', port, dataCentre: dataCentres[(number - 1) % dataCentres.length]!,
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -37,18 +37,18 @@
 	}
 
 	const fleet = new DemoFleet();
-	const end = (): void => {
+	const stop = (): void => {
 		fleet.dispose();
 		process.exitCode = 130;
 	};
 
-	process.once('SIGINT', end);
-	process.once('SIGTERM', end);
+	process.once('SIGINT', stop);
+	process.once('SIGTERM', stop);
 	const isClean = await runDemo(fleet, options);
 	fleet.dispose();
 	process.exitCode = isClean ? 0 : 1;
-	process.off('SIGINT', end);
-	process.off('SIGTERM', end);
+	process.off('SIGINT', stop);
+	process.off('SIGTERM', stop);
 }
 
 sade('demo', true)
--- a/src/demo/operator-client.ts
+++ b/src/demo/operator-client.ts
@@ -12,7 +12,7 @@
 
 const acceptedSchema = z.object({version: z.int()});
 const listSchema = z.object({version: z.int()});
-const pauseMilliseconds = 100;
+const retryMilliseconds = 100;
 
 /** Speaks to one VM's operators' port. */
 export class OperatorClient {
@@ -28,37 +28,37 @@
 	 * Puts all resources together. The same operation is sent until its outcome is known: sent again, it
 	 * is recognised and made once. Gives up early once `isAlive` says that nobody will ever answer.
 	 */
-	async putAll(resources: readonly Resource[], note: string, limitMilliseconds: number, isAlive: () => boolean): Promise<Result<number, OperatorFailure>> {
+	async putAll(resources: readonly Resource[], note: string, timeoutMilliseconds: number, isAlive: () => boolean): Promise<Result<number, OperatorFailure>> {
 		const body = JSON.stringify({
 			operation: randomUUID(), note, mutations: resources.map(resource => ({type: 'put', resource})),
 		});
-		const deadline = performance.now() + limitMilliseconds;
-		let last = 'no answer';
+		const deadline = performance.now() + timeoutMilliseconds;
+		let lastAnswer = 'no answer';
 		while (performance.now() < deadline && isAlive()) {
-			const answer = await this._ask('POST', '/v1/changes', body);
+			const answer = await this._send('POST', '/v1/changes', body);
 			const accepted = acceptedSchema.safeParse(answer?.body);
 			if (answer?.status === 200 && accepted.success) {
 				return ok(accepted.data.version);
 			}
 
-			last = answer === undefined ? 'no answer' : `${answer.status} ${JSON.stringify(answer.body)}`;
+			lastAnswer = answer === undefined ? 'no answer' : `${answer.status} ${JSON.stringify(answer.body)}`;
 			if (answer !== undefined && answer.status < 500) {
-				return err(failure('refused', `the change was refused: ${last}`));
+				return err(failure('refused', `the change was refused: ${lastAnswer}`));
 			}
 
-			await delay(pauseMilliseconds);
+			await delay(retryMilliseconds);
 		}
 
-		return err(failure('no-answer', `the change was not accepted in time: ${last}`));
+		return err(failure('no-answer', `the change was not accepted in time: ${lastAnswer}`));
 	}
 
 	/** Version in force on this VM; undefined = it does not say. */
 	async versionInForce(): Promise<number | undefined> {
-		const answer = await this._ask('GET', '/v1/resources');
+		const answer = await this._send('GET', '/v1/resources');
 		return answer?.status === 200 ? listSchema.safeParse(answer.body).data?.version : undefined;
 	}
 
-	private async _ask(method: 'GET' | 'POST', path: string, body?: string): Promise<{status: number; body: unknown} | undefined> {
+	private async _send(method: 'GET' | 'POST', path: string, body?: string): Promise<{status: number; body: unknown} | undefined> {
 		try {
 			const answer = await request(`${this._origin}${path}`, {
 				method,
--- a/src/demo/oracle.test.ts
+++ b/src/demo/oracle.test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {type CallerReport} from '../stand-ins/caller/types.ts';
 import {type CallRecord} from '../stand-ins/backend-server/types.ts';
-import {judge} from './oracle.ts';
+import {checkCalls} from './oracle.ts';
 
 const record = (callId: string): CallRecord => ({
 	callId, method: 'POST', path: '/orders', startedAt: 0, millisecondsIntoDrain: undefined, state: 'finished',
@@ -22,11 +22,11 @@
 			{callId: 'good', outcome: 'ran' as const},
 		];
 		const records = ['doubled', 'doubled', 'denied', 'good', 'open'].map(callId => record(callId));
-		expect(judge([report({nonIdempotent, lost: 1, inFlight: 2})], records)).toMatchSnapshot(this);
+		expect(checkCalls([report({nonIdempotent, lost: 1, inFlight: 2})], records)).toMatchSnapshot(this);
 	});
 
 	it('finds nothing in a clean run', () => {
-		const verdict = judge([report({nonIdempotent: [{callId: 'good', outcome: 'ran'}]})], [record('good')]);
+		const verdict = checkCalls([report({nonIdempotent: [{callId: 'good', outcome: 'ran'}]})], [record('good')]);
 		expect([verdict.wrong, verdict.lost, verdict.runTwice, verdict.findings.length]).toEqual([0, 0, 0, 0]);
 	});
 });
--- a/src/demo/oracle.ts
+++ b/src/demo/oracle.ts
@@ -26,7 +26,7 @@
 }
 
 /** Judges all callers' reports by all backend servers' records. */
-export function judge(reports: readonly CallerReport[], records: readonly CallRecord[]): Verdict {
+export function checkCalls(reports: readonly CallerReport[], records: readonly CallRecord[]): Verdict {
 	const runs = countRuns(records);
 	const findings: string[] = [];
 	let wrong = 0;
--- a/src/stand-ins/answer-body.ts
+++ b/src/stand-ins/answer-body.ts
@@ -12,7 +12,7 @@
 const stampBytes = 4;
 const tableSeed = 20_261;
 
-function makeTable(): Buffer {
+function makeRandomTable(): Buffer {
 	const table = Buffer.alloc(blockBytes * 2);
 	const generator = xoroshiro128plus(tableSeed);
 	for (let offset = 0; offset < blockBytes; offset += stampBytes) {
@@ -23,7 +23,7 @@
 	return table;
 }
 
-const table = makeTable();
+const table = makeRandomTable();
 
 /** Digest of a request body, so that an answer proves that the whole of it arrived. */
 export function bodyDigest(body: Uint8Array): string {
@@ -35,7 +35,7 @@
 }
 
 /** What decides the bytes of an answer. */
-export type BodyOrigin = {
+export type BodyInputs = {
 	readonly method: string;
 	/** Path and query on the backend server. */
 	readonly path: string;
@@ -47,8 +47,8 @@
 export class AnswerBody {
 	private readonly _hash: number;
 
-	constructor(origin: BodyOrigin, readonly length: number) {
-		this._hash = crc32(`${origin.method} ${origin.path} ${origin.callId} ${origin.requestDigest} ${length}`);
+	constructor(inputs: BodyInputs, readonly length: number) {
+		this._hash = crc32(`${inputs.method} ${inputs.path} ${inputs.callId} ${inputs.requestDigest} ${length}`);
 	}
 
 	/** Strong validator: equal for equal bytes. */
@@ -61,8 +61,8 @@
 		const block = Math.floor(offset / blockBytes);
 		const blockStart = block * blockBytes;
 		const size = Math.min(blockBytes, this.length - blockStart);
-		const place = this._hash % blockBytes;
-		const bytes = Buffer.from(table.subarray(place, place + size));
+		const tableOffset = this._hash % blockBytes;
+		const bytes = Buffer.from(table.subarray(tableOffset, tableOffset + size));
 		const stamp = this._stamp(block);
 		for (let index = 0; index < Math.min(stampBytes, size); index++) {
 			bytes[index] = stampByte(stamp, index);
@@ -103,8 +103,8 @@
 			position++;
 		}
 
-		const place = (this._hash % blockBytes) + inBlock;
-		return table.compare(bytes, position, bytes.length, place + position, place + bytes.length) === 0;
+		const tableOffset = (this._hash % blockBytes) + inBlock;
+		return table.compare(bytes, position, bytes.length, tableOffset + position, tableOffset + bytes.length) === 0;
 	}
 
 	/** Blocks of one body differ in the stamp alone; 2^32 of them would be 256 TiB. */
--- a/src/stand-ins/backend-server/backend-server-stand-in.ts
+++ b/src/stand-ins/backend-server/backend-server-stand-in.ts
@@ -19,7 +19,7 @@
 import {formatLoadReport, LoadReporter} from './load-reporter.ts';
 import {SlotQueue} from './slot-queue.ts';
 import {
-	type BackendServerCounts, type BackendServerMode, type BackendServerOrder, backendServerOrderSchema, type BackendServerSettings,
+	type BackendServerCounts, type BackendServerMode, type BackendServerUpdate, backendServerUpdateSchema, type BackendServerSettings,
 	type CallRecord, defaultBackendServerSettings,
 } from './types.ts';
 
@@ -33,36 +33,36 @@
 	private readonly _instance = randomBytes(4).toString('hex');
 	private readonly _records: CallRecord[] = [];
 	private readonly _reporter: LoadReporter;
-	private readonly _answerControl: ReturnType<typeof getRequestListener>;
+	private readonly _handleControlRequest: ReturnType<typeof getRequestListener>;
 	private readonly _counts: BackendServerCounts = {
 		started: 0, finished: 0, cancelled: 0, timedOut: 0, shed: 0, measured: 0, mostConnections: 0,
 	};
 
-	private _silent = new WeakSet<Socket>();
+	private _silentSockets = new WeakSet<Socket>();
 	private _mode: BackendServerMode = 'normal';
 	private _slowFactor = 10;
 	private _drainingSince: number | undefined;
-	private _reportLag = 0;
-	private _work: number;
+	private _reportLagMilliseconds = 0;
+	private _defaultWorkMilliseconds: number;
 	private _startedAt = 0;
 
 	constructor(settings: Partial<BackendServerSettings> = {}) {
 		super();
 		this.settings = {...defaultBackendServerSettings, ...settings};
-		this._work = this.settings.workMilliseconds;
+		this._defaultWorkMilliseconds = this.settings.workMilliseconds;
 		this._slots = new SlotQueue(this.settings.slots, this.settings.queueLimit);
-		this._reporter = new LoadReporter(() => this._trueLoad());
-		this._answerControl = getRequestListener(this._controlRoutes().fetch, {overrideGlobalObjects: false});
+		this._reporter = new LoadReporter(() => this._currentLoad());
+		this._handleControlRequest = getRequestListener(this._controlRoutes().fetch, {overrideGlobalObjects: false});
 		this._listener = this._register(new HttpListener(this.settings, (request, response) => {
 			this._handleRequest(request, response);
 		}));
 	}
 
-	get defaultWork(): number {
-		return this._work;
+	get defaultWorkMilliseconds(): number {
+		return this._defaultWorkMilliseconds;
 	}
 
-	get defaultBytes(): number {
+	get defaultAnswerBytes(): number {
 		return this.settings.answerBytes;
 	}
 
@@ -83,17 +83,17 @@
 	}
 
 	/** Changes what the order names. */
-	order(order: BackendServerOrder): void {
-		this._mode = order.mode ?? this._mode;
-		this._slowFactor = order.slowFactor ?? this._slowFactor;
-		this._reportLag = order.reportLagMilliseconds ?? this._reportLag;
-		this._work = order.workMilliseconds ?? this._work;
-		if (order.isDraining !== undefined) {
-			this._drainingSince = order.isDraining ? (this._drainingSince ?? performance.now()) : undefined;
+	update(update: BackendServerUpdate): void {
+		this._mode = update.mode ?? this._mode;
+		this._slowFactor = update.slowFactor ?? this._slowFactor;
+		this._reportLagMilliseconds = update.reportLagMilliseconds ?? this._reportLagMilliseconds;
+		this._defaultWorkMilliseconds = update.workMilliseconds ?? this._defaultWorkMilliseconds;
+		if (update.isDraining !== undefined) {
+			this._drainingSince = update.isDraining ? (this._drainingSince ?? performance.now()) : undefined;
 		}
 
-		if (order.mode === 'silent') {
-			this._silent = new WeakSet(this._listener.openSockets());
+		if (update.mode === 'silent') {
+			this._silentSockets = new WeakSet(this._listener.openSockets());
 		}
 	}
 
@@ -105,13 +105,13 @@
 		};
 	}
 
-	workTime(work: number): number {
-		const age = performance.now() - this._startedAt;
-		const cold = age < this.settings.coldMilliseconds ? 1 + ((this.settings.coldFactor - 1) * (1 - (age / this.settings.coldMilliseconds))) : 1;
-		return work * cold * (this._mode === 'slow' ? this._slowFactor : 1);
+	scaledWorkMilliseconds(workMilliseconds: number): number {
+		const ageMilliseconds = performance.now() - this._startedAt;
+		const coldFactor = ageMilliseconds < this.settings.coldMilliseconds ? 1 + ((this.settings.coldFactor - 1) * (1 - (ageMilliseconds / this.settings.coldMilliseconds))) : 1;
+		return workMilliseconds * coldFactor * (this._mode === 'slow' ? this._slowFactor : 1);
 	}
 
-	started(run: CallRun): CallRecord {
+	onStarted(run: CallRun): CallRecord {
 		const now = performance.now();
 		const record: CallRecord = {
 			callId: run.callId,
@@ -129,17 +129,17 @@
 		return record;
 	}
 
-	ended(_run: CallRun, record: CallRecord): void {
-		const counted = {
+	onEnded(_run: CallRun, record: CallRecord): void {
+		const countNames = {
 			finished: 'finished', cancelled: 'cancelled', 'timed-out': 'timedOut', running: 'cancelled',
 		} as const;
-		this._counts[counted[record.state]]++;
+		this._counts[countNames[record.state]]++;
 		this._slots.release();
 	}
 
-	private _trueLoad(): LoadReport {
+	private _currentLoad(): LoadReport {
 		return {
-			inFlight: this._slots.taken,
+			inFlight: this._slots.inUse,
 			queued: this._slots.queued,
 			slots: this.settings.slots,
 			instance: this._instance,
@@ -148,7 +148,7 @@
 	}
 
 	private _report(): LoadReport {
-		return this._reporter.report(performance.now(), this._reportLag, this._mode === 'misleading' || this._mode === 'fail-fast');
+		return this._reporter.report(performance.now(), this._reportLagMilliseconds, this._mode === 'misleading' || this._mode === 'fail-fast');
 	}
 
 	private _controlRoutes(): Hono {
@@ -165,12 +165,12 @@
 		routes.get('/admin/calls', context => context.json({calls: this._records}));
 		routes.get('/admin/counts', context => context.json(this._counts));
 		routes.post('/admin', async context => {
-			const order = backendServerOrderSchema.safeParse(await context.req.json());
-			if (!order.success) {
-				return context.json({message: order.error.message}, 400);
+			const update = backendServerUpdateSchema.safeParse(await context.req.json());
+			if (!update.success) {
+				return context.json({message: update.error.message}, 400);
 			}
 
-			this.order(order.data);
+			this.update(update.data);
 			return context.json({mode: this._mode});
 		});
 		return routes;
@@ -179,13 +179,13 @@
 	private _handleRequest(request: IncomingMessage, response: ServerResponse): void {
 		this._counts.mostConnections = Math.max(this._counts.mostConnections, this._listener.connections);
 		// The path between the two ends has lost track of this connection: nothing comes back, ever.
-		if (this._silent.has(request.socket)) {
+		if (this._silentSockets.has(request.socket)) {
 			return;
 		}
 
 		const path = request.url ?? '/';
 		if (path === loadPath || path === healthPath || path === '/admin' || path.startsWith('/admin/')) {
-			void this._answerControl(request, response);
+			void this._handleControlRequest(request, response);
 			return;
 		}
 
@@ -196,7 +196,7 @@
 		}
 
 		this._readBody(request, body => {
-			this._enter(new CallRun(request, response, this), body);
+			this._admit(new CallRun(request, response, this), body);
 		});
 	}
 
@@ -210,15 +210,15 @@
 		});
 	}
 
-	private _enter(run: CallRun, body: Uint8Array): void {
+	private _admit(run: CallRun, body: Uint8Array): void {
 		if (this._mode === 'crash-on-mark' && run.request.headers[crashHeader] === 'true') {
-			this.started(run);
+			this.onStarted(run);
 			this._crash();
 			return;
 		}
 
 		const start = (): void => {
-			const remaining = run.remaining();
+			const remaining = run.remainingMilliseconds();
 			if (remaining !== undefined && remaining <= 0) {
 				this._shed(run);
 				this._slots.release();
@@ -228,13 +228,13 @@
 			run.start(body);
 		};
 
-		if (!this._slots.enter(start)) {
+		if (!this._slots.acquire(start)) {
 			this._shed(run);
 			return;
 		}
 
 		run.response.once('close', () => {
-			this._slots.leaveQueue(start);
+			this._slots.cancel(start);
 		});
 	}
 
--- a/src/stand-ins/backend-server/call-run.ts
+++ b/src/stand-ins/backend-server/call-run.ts
@@ -13,16 +13,16 @@
 	/** Headers that every answer carries: the load report and the mark of leaving. */
 	answerHeaders(): Record<string, string>;
 	/** Milliseconds that `work` takes here and now. */
-	workTime(work: number): number;
-	readonly defaultWork: number;
-	readonly defaultBytes: number;
+	scaledWorkMilliseconds(workMilliseconds: number): number;
+	readonly defaultWorkMilliseconds: number;
+	readonly defaultAnswerBytes: number;
 	/** The call begins to run. */
-	started(run: CallRun): CallRecord;
+	onStarted(run: CallRun): CallRecord;
 	/** The call has left its slot. */
-	ended(run: CallRun, record: CallRecord): void;
+	onEnded(run: CallRun, record: CallRecord): void;
 };
 
-function numberHeader(request: IncomingMessage, name: string): number | undefined {
+function parseNumberHeader(request: IncomingMessage, name: string): number | undefined {
 	const text = request.headers[name];
 	const value = typeof text === 'string' ? Number(text) : Number.NaN;
 	return Number.isFinite(value) && value >= 0 ? value : undefined;
@@ -34,7 +34,7 @@
 	readonly path: string;
 	private _record: CallRecord | undefined;
 	private _timer: NodeJS.Timeout | undefined;
-	private _isOver = false;
+	private _hasEnded = false;
 	private readonly _arrivedAt = performance.now();
 
 	constructor(readonly request: IncomingMessage, readonly response: ServerResponse, private readonly _host: CallHost) {
@@ -43,41 +43,41 @@
 	}
 
 	/** Milliseconds that the caller still waits; undefined = it did not say. */
-	remaining(): number | undefined {
-		const timeout = numberHeader(this.request, timeoutHeader);
+	remainingMilliseconds(): number | undefined {
+		const timeout = parseNumberHeader(this.request, timeoutHeader);
 		return timeout === undefined ? undefined : timeout - (performance.now() - this._arrivedAt);
 	}
 
 	/** Has its slot: the work begins. */
 	start(body: Uint8Array): void {
-		this._record = this._host.started(this);
+		this._record = this._host.onStarted(this);
 		this.response.once('close', () => {
 			this._end(this.response.writableFinished ? 'finished' : 'cancelled');
 		});
-		const work = this._host.workTime(numberHeader(this.request, workHeader) ?? this._host.defaultWork);
-		const remaining = this.remaining();
-		if (remaining !== undefined && remaining < work) {
+		const workMilliseconds = this._host.scaledWorkMilliseconds(parseNumberHeader(this.request, workHeader) ?? this._host.defaultWorkMilliseconds);
+		const remainingMilliseconds = this.remainingMilliseconds();
+		if (remainingMilliseconds !== undefined && remainingMilliseconds < workMilliseconds) {
 			this._timer = setTimeout(() => {
 				this._timeOut();
-			}, remaining);
-		} else if (work > 0) {
+			}, remainingMilliseconds);
+		} else if (workMilliseconds > 0) {
 			this._timer = setTimeout(() => {
 				this._answer(body);
-			}, work);
+			}, workMilliseconds);
 		} else {
 			this._answer(body);
 		}
 	}
 
 	private _end(state: CallRecord['state']): void {
-		if (this._isOver || this._record === undefined) {
+		if (this._hasEnded || this._record === undefined) {
 			return;
 		}
 
-		this._isOver = true;
+		this._hasEnded = true;
 		clearTimeout(this._timer);
 		this._record.state = state;
-		this._host.ended(this, this._record);
+		this._host.onEnded(this, this._record);
 	}
 
 	/** Work that nobody waits for any more is stopped; it has run in part, so no word of "not run". */
@@ -88,7 +88,7 @@
 	}
 
 	private _answer(requestBody: Uint8Array): void {
-		const length = numberHeader(this.request, bytesHeader) ?? this._host.defaultBytes;
+		const length = parseNumberHeader(this.request, bytesHeader) ?? this._host.defaultAnswerBytes;
 		const body = new AnswerBody({
 			method: this.request.method ?? 'GET', path: this.path, callId: this.callId, requestDigest: bodyDigest(requestBody),
 		}, length);
--- a/src/stand-ins/backend-server/load-reporter.ts
+++ b/src/stand-ins/backend-server/load-reporter.ts
@@ -6,22 +6,22 @@
 export class LoadReporter {
 	private _history: Array<{readonly at: Instant; readonly report: LoadReport}> = [];
 
-	private readonly _truth: () => LoadReport;
+	private readonly _readLoad: () => LoadReport;
 
-	constructor(truth: () => LoadReport) {
-		this._truth = truth;
+	constructor(readLoad: () => LoadReport) {
+		this._readLoad = readLoad;
 	}
 
 	/** The report as it would be given at `now`. */
-	report(now: Instant, lag: Milliseconds, showsNoLoad: boolean): LoadReport {
-		const truth = this._truth();
-		const shown = lag === 0 ? truth : this._late(truth, now, lag);
-		return showsNoLoad ? {...shown, inFlight: 0, queued: 0} : shown;
+	report(now: Instant, lagMilliseconds: Milliseconds, hidesLoad: boolean): LoadReport {
+		const readLoad = this._readLoad();
+		const shown = lagMilliseconds === 0 ? readLoad : this._delayedReport(readLoad, now, lagMilliseconds);
+		return hidesLoad ? {...shown, inFlight: 0, queued: 0} : shown;
 	}
 
-	private _late(truth: LoadReport, now: Instant, lag: Milliseconds): LoadReport {
-		this._history.push({at: now, report: truth});
-		const index = this._history.findLastIndex(past => past.at <= now - lag);
+	private _delayedReport(readLoad: LoadReport, now: Instant, lagMilliseconds: Milliseconds): LoadReport {
+		this._history.push({at: now, report: readLoad});
+		const index = this._history.findLastIndex(entry => entry.at <= now - lagMilliseconds);
 		this._history = this._history.slice(Math.max(index, 0));
 		return this._history[0]!.report;
 	}
--- a/src/stand-ins/backend-server/slot-queue.ts
+++ b/src/stand-ins/backend-server/slot-queue.ts
@@ -4,7 +4,7 @@
 export class SlotQueue {
 	readonly slots: number;
 	private readonly _queueLimit: number;
-	private _taken = 0;
+	private _inUse = 0;
 	private readonly _waiting = new Set<() => void>();
 
 	constructor(slots: number, queueLimit: number) {
@@ -13,8 +13,8 @@
 	}
 
 	/** Calls that hold a slot. */
-	get taken(): number {
-		return this._taken;
+	get inUse(): number {
+		return this._inUse;
 	}
 
 	/** Calls that wait. */
@@ -23,9 +23,9 @@
 	}
 
 	/** Runs `start` with a slot now or later; false = shed, never run. */
-	enter(start: () => void): boolean {
-		if (this._taken < this.slots) {
-			this._taken++;
+	acquire(start: () => void): boolean {
+		if (this._inUse < this.slots) {
+			this._inUse++;
 			start();
 			return true;
 		}
@@ -39,7 +39,7 @@
 	}
 
 	/** Leaves the queue; false if it had a slot already. */
-	leaveQueue(start: () => void): boolean {
+	cancel(start: () => void): boolean {
 		return this._waiting.delete(start);
 	}
 
@@ -47,7 +47,7 @@
 	release(): void {
 		const [next] = this._waiting;
 		if (next === undefined) {
-			this._taken--;
+			this._inUse--;
 			return;
 		}
 
--- a/src/stand-ins/backend-server/types.ts
+++ b/src/stand-ins/backend-server/types.ts
@@ -19,7 +19,7 @@
 export type BackendServerMode = z.infer<typeof backendServerModeSchema>;
 
 /** `POST /admin`; what is left out stays as it is. */
-export const backendServerOrderSchema = z.strictObject({
+export const backendServerUpdateSchema = z.strictObject({
 	mode: backendServerModeSchema.optional(),
 	slowFactor: z.number().min(1).optional(),
 	/** Begins to leave (or returns): answers are marked, `/health` says 503; calls are still run. */
@@ -28,7 +28,7 @@
 	reportLagMilliseconds: z.number().min(0).optional(),
 	workMilliseconds: z.number().min(0).optional(),
 });
-export type BackendServerOrder = z.infer<typeof backendServerOrderSchema>;
+export type BackendServerUpdate = z.infer<typeof backendServerUpdateSchema>;
 
 /** What a backend server is made with. */
 export type BackendServerSettings = {
--- a/src/stand-ins/caller/address-book.ts
+++ b/src/stand-ins/caller/address-book.ts
@@ -5,22 +5,22 @@
 import {addressesPath} from '../../common/protocol/headers.ts';
 import {type AddressAnswer, addressAnswerSchema, type VmAddress} from './types.ts';
 
-const askTimeoutMilliseconds = 1000;
+const requestTimeoutMilliseconds = 1000;
 /** A VM that failed is passed over for this long, unless no other is left. */
 const avoidMilliseconds = 2000;
 
-type Kept = {readonly answer: AddressAnswer; readonly until: Instant};
+type CachedAnswer = {readonly answer: AddressAnswer; readonly expiresAt: Instant};
 
 /** Asks any seed; an old answer serves on where nobody answers. */
-export class AddressBook {
-	private readonly _kept = new Map<string, Kept>();
-	private readonly _asking = new Map<string, Promise<void>>();
+export class AddressCache {
+	private readonly _cached = new Map<string, CachedAnswer>();
+	private readonly _pendingRequests = new Map<string, Promise<void>>();
 	private readonly _avoidedUntil = new Map<string, Instant>();
 
 	private readonly _dispatcher: Dispatcher;
 	private readonly _seeds: readonly string[];
 	private readonly _random: RandomSource;
-	private _answers = 0;
+	private _answerCount = 0;
 
 	constructor(dispatcher: Dispatcher, seeds: readonly string[], random: RandomSource) {
 		this._dispatcher = dispatcher;
@@ -29,21 +29,21 @@
 	}
 
 	/** Answers got so far. */
-	get answers(): number {
-		return this._answers;
+	get answerCount(): number {
+		return this._answerCount;
 	}
 
 	/** Chooses a VM by weight; undefined = nobody ever answered. */
 	async choose(service: string): Promise<VmAddress | undefined> {
-		const kept = this._kept.get(service);
-		if (kept === undefined || kept.until <= performance.now()) {
-			await this._askOnce(service);
+		const cached = this._cached.get(service);
+		if (cached === undefined || cached.expiresAt <= performance.now()) {
+			await this._refreshOnce(service);
 		}
 
-		const vms = this._kept.get(service)?.answer.vms ?? [];
+		const vms = this._cached.get(service)?.answer.vms ?? [];
 		const now = performance.now();
-		const good = vms.filter(vm => (this._avoidedUntil.get(`${vm.address}:${vm.port}`) ?? 0) <= now);
-		return this._byWeight(good.length > 0 ? good : vms);
+		const usable = vms.filter(vm => (this._avoidedUntil.get(`${vm.address}:${vm.port}`) ?? 0) <= now);
+		return this._chooseByWeight(usable.length > 0 ? usable : vms);
 	}
 
 	/** A connection to the VM failed: others go first for a while. */
@@ -51,12 +51,12 @@
 		this._avoidedUntil.set(`${vm.address}:${vm.port}`, performance.now() + avoidMilliseconds);
 	}
 
-	private _byWeight(vms: readonly VmAddress[]): VmAddress | undefined {
+	private _chooseByWeight(vms: readonly VmAddress[]): VmAddress | undefined {
 		const total = vms.reduce((sum, vm) => sum + vm.weight, 0);
-		let place = this._random.next() * total;
+		let remainingWeight = this._random.next() * total;
 		for (const vm of vms) {
-			place -= vm.weight;
-			if (place < 0) {
+			remainingWeight -= vm.weight;
+			if (remainingWeight < 0) {
 				return vm;
 			}
 		}
@@ -65,38 +65,38 @@
 	}
 
 	/** Calls that find the answer outdated at once share one question. */
-	private async _askOnce(service: string): Promise<void> {
-		const present = this._asking.get(service);
-		if (present !== undefined) {
-			return present;
+	private async _refreshOnce(service: string): Promise<void> {
+		const pending = this._pendingRequests.get(service);
+		if (pending !== undefined) {
+			return pending;
 		}
 
-		const asking = this._ask(service);
-		this._asking.set(service, asking);
-		await asking;
-		this._asking.delete(service);
+		const pendingRequest = this._refresh(service);
+		this._pendingRequests.set(service, pendingRequest);
+		await pendingRequest;
+		this._pendingRequests.delete(service);
 	}
 
-	private async _ask(service: string): Promise<void> {
+	private async _refresh(service: string): Promise<void> {
 		const first = Math.floor(this._random.next() * this._seeds.length);
 		for (let index = 0; index < this._seeds.length; index++) {
 			const seed = this._seeds[(first + index) % this._seeds.length]!;
-			const answer = await this._askSeed(seed, service);
+			const answer = await this._requestFromSeed(seed, service);
 			if (answer !== undefined && answer.vms.length > 0) {
-				this._answers++;
-				this._kept.set(service, {answer, until: performance.now() + answer.keepForMilliseconds});
+				this._answerCount++;
+				this._cached.set(service, {answer, expiresAt: performance.now() + answer.keepForMilliseconds});
 				return;
 			}
 		}
 	}
 
-	private async _askSeed(seed: string, service: string): Promise<AddressAnswer | undefined> {
+	private async _requestFromSeed(seed: string, service: string): Promise<AddressAnswer | undefined> {
 		try {
 			const {statusCode, body} = await this._dispatcher.request({
 				origin: `http://${seed}`,
 				path: `${addressesPath}?service=${encodeURIComponent(service)}`,
 				method: 'GET',
-				signal: AbortSignal.timeout(askTimeoutMilliseconds),
+				signal: AbortSignal.timeout(requestTimeoutMilliseconds),
 			});
 			const text = await body.text();
 			return statusCode === 200 ? addressAnswerSchema.safeParse(JSON.parse(text)).data : undefined;
--- a/src/stand-ins/caller/caller-load.ts
+++ b/src/stand-ins/caller/caller-load.ts
@@ -22,13 +22,13 @@
 };
 
 const tickMilliseconds = 1;
-const highestMicroseconds = 600_000_000;
+const maxLatencyMicroseconds = 600_000_000;
 const orderBody = Buffer.from(JSON.stringify({order: 'fibre pair', spans: [1, 2, 3], quantity: 1}));
-const faultsKept = 20;
+const maxFaults = 20;
 
 /** Latencies count from the moment a call was due, so that a stalled loop shows (coordinated omission). */
 export class CallerLoad extends Disposable {
-	private readonly _histogram: Histogram = build({lowestDiscernibleValue: 1, highestTrackableValue: highestMicroseconds, numberOfSignificantValueDigits: 3});
+	private readonly _histogram: Histogram = build({lowestDiscernibleValue: 1, highestTrackableValue: maxLatencyMicroseconds, numberOfSignificantValueDigits: 3});
 	private readonly _nonIdempotent: Array<Pick<CallResult, 'callId' | 'outcome'>> = [];
 	private readonly _faults: CallResult[] = [];
 	private readonly _counts = {
@@ -37,13 +37,13 @@
 
 	private readonly _timer: NodeJS.Timeout;
 	private readonly _startedAt = performance.now();
-	private _sent = 0;
-	private _ended = 0;
+	private _sentCount = 0;
+	private _endedCount = 0;
 
 	constructor(private readonly _settings: CallerLoadSettings, private readonly _caller: Caller) {
 		super();
 		this._timer = setInterval(() => {
-			this._sendDue();
+			this._sendDueCalls();
 		}, tickMilliseconds);
 		this._register(toDisposable(() => {
 			this.stop();
@@ -60,8 +60,8 @@
 		const percentile = (share: number): number => this._histogram.getValueAtPercentile(share) / 1000;
 		return {
 			service: this._settings.service,
-			calls: this._sent,
-			inFlight: this._sent - this._ended,
+			calls: this._sentCount,
+			inFlight: this._sentCount - this._endedCount,
 			...this._counts,
 			p50: percentile(50),
 			p99: percentile(99),
@@ -71,13 +71,13 @@
 		};
 	}
 
-	private _sendDue(): void {
+	private _sendDueCalls(): void {
 		// The first call is due at once: call k counts from k intervals after the start.
-		const due = Math.floor((performance.now() - this._startedAt) / 1000 * this._settings.callsPerSecond) + 1;
-		while (this._sent < due) {
-			const dueAt = this._startedAt + (this._sent * 1000 / this._settings.callsPerSecond);
-			void this._sendOne(this._makeCall(this._sent), dueAt);
-			this._sent++;
+		const dueCount = Math.floor((performance.now() - this._startedAt) / 1000 * this._settings.callsPerSecond) + 1;
+		while (this._sentCount < dueCount) {
+			const dueAt = this._startedAt + (this._sentCount * 1000 / this._settings.callsPerSecond);
+			void this._sendOne(this._makeCall(this._sentCount), dueAt);
+			this._sentCount++;
 		}
 	}
 
@@ -99,7 +99,7 @@
 
 	private async _sendOne(call: OutgoingCall, dueAt: number): Promise<void> {
 		const result = await this._caller.call(call);
-		this._ended++;
+		this._endedCount++;
 		if (result.isRight) {
 			this._histogram.recordValue(Math.max(1, Math.round((performance.now() - dueAt) * 1000)));
 		}
@@ -116,7 +116,7 @@
 			return;
 		}
 
-		if (this._faults.length < faultsKept) {
+		if (this._faults.length < maxFaults) {
 			this._faults.push(result);
 		}
 
--- a/src/stand-ins/caller/caller.ts
+++ b/src/stand-ins/caller/caller.ts
@@ -12,7 +12,7 @@
 } from '../../common/protocol/headers.ts';
 import {AnswerBody, bodyDigest} from '../answer-body.ts';
 import {bytesHeader, callIdHeader, workHeader} from '../headers.ts';
-import {AddressBook} from './address-book.ts';
+import {AddressCache} from './address-book.ts';
 import {type CallResult, type OutgoingCall, type VmAddress} from './types.ts';
 
 /** What a caller is made with. */
@@ -22,7 +22,7 @@
 	/** `address:port` of some VMs, to ask for addresses. */
 	readonly seeds: readonly string[];
 	/** Times that one call may be sent in all. */
-	readonly triesLimit: number;
+	readonly maxTries: number;
 	/** Connections to each VM. */
 	readonly connectionsPerVm: number;
 };
@@ -38,7 +38,7 @@
 };
 
 /** Errors of undici that prove that no byte of the call has left. */
-const neverSentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
+const notConnectedCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 const connectTimeoutMilliseconds = 1000;
 
 function errorCode(error: unknown): string {
@@ -51,7 +51,7 @@
 
 /** undici without any interceptor: it sends nothing again by itself. */
 export class Caller extends Disposable {
-	readonly addresses: AddressBook;
+	readonly addresses: AddressCache;
 	private readonly _agent: Agent;
 
 	constructor(private readonly _settings: CallerSettings, random: RandomSource) {
@@ -66,79 +66,79 @@
 		this._register(toDisposable(() => {
 			void this._agent.destroy();
 		}));
-		this.addresses = new AddressBook(this._agent, _settings.seeds, random);
+		this.addresses = new AddressCache(this._agent, _settings.seeds, random);
 	}
 
 	/** Makes the call, again where that is safe and worth it, and tells what became of it. */
 	async call(call: OutgoingCall): Promise<CallResult> {
 		const deadline = performance.now() + call.timeoutMilliseconds;
-		let last: Try | undefined;
-		for (let tries = 1; tries <= this._settings.triesLimit; tries++) {
-			last = await this._tryOnce(call, deadline - performance.now());
-			const pause = last.retryAfterMilliseconds ?? 0;
-			const remaining = deadline - performance.now();
-			const isSafe = last.outcome === 'not-run' || isIdempotent(call);
-			const isFinal = last.isRight || last.isWrong || !isSafe || (last.status !== undefined && last.status < 500);
-			if (isFinal || tries === this._settings.triesLimit || pause >= remaining) {
-				return this._result(call, last, tries);
+		let lastTry: Try | undefined;
+		for (let tries = 1; tries <= this._settings.maxTries; tries++) {
+			lastTry = await this._tryOnce(call, deadline - performance.now());
+			const pauseMilliseconds = lastTry.retryAfterMilliseconds ?? 0;
+			const remainingMilliseconds = deadline - performance.now();
+			const isSafe = lastTry.outcome === 'not-run' || isIdempotent(call);
+			const isFinal = lastTry.isRight || lastTry.isWrong || !isSafe || (lastTry.status !== undefined && lastTry.status < 500);
+			if (isFinal || tries === this._settings.maxTries || pauseMilliseconds >= remainingMilliseconds) {
+				return this._result(call, lastTry, tries);
 			}
 
-			await delay(pause);
+			await delay(pauseMilliseconds);
 		}
 
-		return this._result(call, last, this._settings.triesLimit);
+		return this._result(call, lastTry, this._settings.maxTries);
 	}
 
-	private _result(call: OutgoingCall, last: Try | undefined, tries: number): CallResult {
+	private _result(call: OutgoingCall, lastTry: Try | undefined, tries: number): CallResult {
 		return {
 			callId: call.callId,
 			method: call.method,
-			outcome: last?.outcome ?? 'not-run',
-			status: last?.status,
-			isRight: last?.isRight ?? false,
-			isWrong: last?.isWrong ?? false,
+			outcome: lastTry?.outcome ?? 'not-run',
+			status: lastTry?.status,
+			isRight: lastTry?.isRight ?? false,
+			isWrong: lastTry?.isWrong ?? false,
 			tries,
-			detail: last?.detail,
+			detail: lastTry?.detail,
 		};
 	}
 
-	private async _tryOnce(call: OutgoingCall, remaining: number): Promise<Try> {
+	private async _tryOnce(call: OutgoingCall, remainingMilliseconds: number): Promise<Try> {
 		const vm = await this.addresses.choose(call.service);
 		if (vm === undefined) {
-			return this._failed('not-run', 'no VM answers which addresses to use');
+			return this._failedTry('not-run', 'no VM answers which addresses to use');
 		}
 
 		try {
-			return await this._send(call, vm, remaining);
+			return await this._send(call, vm, remainingMilliseconds);
 		} catch (error: unknown) {
 			const code = errorCode(error);
 			if (code !== 'ABORT_ERR' && code !== 'UND_ERR_ABORTED') {
 				this.addresses.avoid(vm);
 			}
 
-			return this._failed(neverSentCodes.has(code) ? 'not-run' : 'lost', `${vm.address}:${vm.port}: ${String(error)}`);
+			return this._failedTry(notConnectedCodes.has(code) ? 'not-run' : 'lost', `${vm.address}:${vm.port}: ${String(error)}`);
 		}
 	}
 
-	private _failed(outcome: Try['outcome'], detail: string): Try {
+	private _failedTry(outcome: Try['outcome'], detail: string): Try {
 		return {
 			outcome, detail, status: undefined, isRight: false, isWrong: false, retryAfterMilliseconds: undefined,
 		};
 	}
 
-	private async _send(call: OutgoingCall, vm: VmAddress, remaining: number): Promise<Try> {
+	private async _send(call: OutgoingCall, vm: VmAddress, remainingMilliseconds: number): Promise<Try> {
 		const response = await this._agent.request({
 			origin: `http://${vm.address}:${vm.port}`,
 			path: `${callPathPrefix}${call.service}${call.path}`,
 			method: call.method,
 			body: call.body ?? null,
-			signal: AbortSignal.timeout(Math.max(1, Math.ceil(remaining))),
+			signal: AbortSignal.timeout(Math.max(1, Math.ceil(remainingMilliseconds))),
 			headers: {
 				...call.headers,
 				[callerHeader]: this._settings.name,
 				[callIdHeader]: call.callId,
 				[bytesHeader]: String(call.answerBytes),
-				[timeoutHeader]: String(Math.max(1, Math.floor(remaining))),
+				[timeoutHeader]: String(Math.max(1, Math.floor(remainingMilliseconds))),
 				...(call.workMilliseconds !== undefined && {[workHeader]: String(call.workMilliseconds)}),
 			},
 		});
--- a/src/stand-ins/caller/main.ts
+++ b/src/stand-ins/caller/main.ts
@@ -41,7 +41,7 @@
 	.action(async (options: Options) => {
 		await runAsProcess(new CallerStandIn(
 			{
-				name: options.name, seeds: options.seeds.split(','), triesLimit: options.tries, connectionsPerVm: options.connections,
+				name: options.name, seeds: options.seeds.split(','), maxTries: options.tries, connectionsPerVm: options.connections,
 			},
 			{
 				name: options.name,
--- a/src/stand-ins/child-program.ts
+++ b/src/stand-ins/child-program.ts
@@ -17,8 +17,8 @@
 const readySchema = z.object({listening: z.int(), ports: z.array(z.int()).optional()});
 export type ReadyLine = z.infer<typeof readySchema>;
 
-const keptErrorLines = 20;
-const startLimitMilliseconds = 30_000;
+const maxErrorLines = 20;
+const startTimeoutMilliseconds = 30_000;
 
 /** What to run. */
 export type ProgramSettings = {
@@ -36,7 +36,7 @@
 /** Started at construction; a disposal kills it if it still runs. */
 export class ChildProgram extends Disposable {
 	private readonly _child: ChildProcess;
-	private readonly _errors: string[] = [];
+	private readonly _errorLines: string[] = [];
 	private readonly _onErrorLine = this._register(new Emitter<string>());
 	private readonly _ready: Promise<Result<ReadyLine, ProgramFailure>>;
 	private readonly _exit: Promise<number | undefined>;
@@ -58,7 +58,7 @@
 		}));
 		this._exit = this._waitForExit();
 		this._ready = this._waitForReady(settings.program);
-		this._keepErrors();
+		this._collectErrorLines();
 	}
 
 	/** Process id. */
@@ -78,7 +78,7 @@
 
 	/** The latest lines that it wrote for people. */
 	get lastErrors(): string {
-		return this._errors.join('\n');
+		return this._errorLines.join('\n');
 	}
 
 	/** Resolves with the ready line of a stand-in. */
@@ -87,11 +87,11 @@
 	}
 
 	/** Asks it to end and waits, at most for the time given; then it is killed. Undefined = killed. */
-	async stop(limitMilliseconds: number): Promise<number | undefined> {
+	async stop(timeoutMilliseconds: number): Promise<number | undefined> {
 		this._child.kill('SIGTERM');
 		const timer = setTimeout(() => {
 			this._child.kill('SIGKILL');
-		}, limitMilliseconds);
+		}, timeoutMilliseconds);
 		const code = await this._exit;
 		clearTimeout(timer);
 		return code;
@@ -121,7 +121,7 @@
 				resolve(err(failure('not-started', `${program}: ${reason}: ${this.lastErrors}`)));
 			};
 
-			const timer = setTimeout(fail, startLimitMilliseconds, 'no ready line in time');
+			const timer = setTimeout(fail, startTimeoutMilliseconds, 'no ready line in time');
 			this._child.once('exit', code => {
 				fail(`ended with ${String(code)}`);
 			});
@@ -138,12 +138,12 @@
 		});
 	}
 
-	private _keepErrors(): void {
+	private _collectErrorLines(): void {
 		createInterface({input: this._child.stderr!}).on('line', line => {
 			this._onErrorLine.fire(line);
-			this._errors.push(line);
-			if (this._errors.length > keptErrorLines) {
-				this._errors.shift();
+			this._errorLines.push(line);
+			if (this._errorLines.length > maxErrorLines) {
+				this._errorLines.shift();
 			}
 		});
 	}
--- a/src/stand-ins/free-ports.ts
+++ b/src/stand-ins/free-ports.ts
@@ -7,10 +7,10 @@
  * (32768 upwards on Linux): a port of that range, free a moment ago, is taken by somebody else's next
  * connection on a busy machine, and the daemon that was to have it cannot listen.
  */
-const lowestPort = 20_000;
-const highestPort = 32_000;
+const minPort = 20_000;
+const maxPort = 32_000;
 
-async function tryHold(port: number): Promise<Server | undefined> {
+async function tryListen(port: number): Promise<Server | undefined> {
 	return new Promise(resolve => {
 		const server = createServer();
 		server.once('error', () => {
@@ -22,10 +22,10 @@
 	});
 }
 
-async function hold(): Promise<{server: Server; port: number}> {
+async function listenOnRandomPort(): Promise<{server: Server; port: number}> {
 	for (;;) {
-		const port = randomInt(lowestPort, highestPort);
-		const server = await tryHold(port);
+		const port = randomInt(minPort, maxPort);
+		const server = await tryListen(port);
 		if (server !== undefined) {
 			return {server, port};
 		}
@@ -34,9 +34,9 @@
 
 /** Ports that were free a moment ago. All are held at once, so that none is given twice. */
 export async function freePorts(count: number): Promise<number[]> {
-	const held = await Promise.all(Array.from({length: count}, async () => hold()));
-	await Promise.all(held.map(async ({server}) => new Promise(resolve => {
+	const listeners = await Promise.all(Array.from({length: count}, async () => listenOnRandomPort()));
+	await Promise.all(listeners.map(async ({server}) => new Promise(resolve => {
 		server.close(resolve);
 	})));
-	return held.map(({port}) => port);
+	return listeners.map(({port}) => port);
 }
--- a/src/stand-ins/garbage-collection-observer.ts
+++ b/src/stand-ins/garbage-collection-observer.ts
@@ -2,21 +2,21 @@
 import {PerformanceObserver} from 'node:perf_hooks';
 import process from 'node:process';
 
-let count = 0;
-let total = 0;
-let longest = 0;
+let pauseCount = 0;
+let totalPauseMilliseconds = 0;
+let longestPauseMilliseconds = 0;
 
 new PerformanceObserver(list => {
 	for (const entry of list.getEntries()) {
-		count++;
-		total += entry.duration;
-		longest = Math.max(longest, entry.duration);
+		pauseCount++;
+		totalPauseMilliseconds += entry.duration;
+		longestPauseMilliseconds = Math.max(longestPauseMilliseconds, entry.duration);
 	}
 }).observe({entryTypes: ['gc']});
 
 process.on('SIGUSR2', () => {
-	process.stderr.write(`${JSON.stringify({pauses: count, totalMilliseconds: total, longestMilliseconds: longest})}\n`);
-	count = 0;
-	total = 0;
-	longest = 0;
+	process.stderr.write(`${JSON.stringify({pauses: pauseCount, totalMilliseconds: totalPauseMilliseconds, longestMilliseconds: longestPauseMilliseconds})}\n`);
+	pauseCount = 0;
+	totalPauseMilliseconds = 0;
+	longestPauseMilliseconds = 0;
 });
--- a/src/stand-ins/platform/key-value-store.ts
+++ b/src/stand-ins/platform/key-value-store.ts
@@ -5,9 +5,9 @@
 } from '../../common/platform/types.ts';
 
 /** Values beyond this are refused by the platform. */
-export const valueLimitBytes = 1_048_576;
+export const maxValueBytes = 1_048_576;
 
-type Lease = {readonly milliseconds: Milliseconds; until: Instant; readonly keys: Set<string>};
+type Lease = {readonly milliseconds: Milliseconds; expiresAt: Instant; readonly keys: Set<string>};
 
 type ImmediateOperation = Exclude<StoreOperation, {type: 'watch'}>;
 
@@ -42,7 +42,7 @@
 			}
 
 			case 'list': {
-				return {type: 'entries', entries: this._under(operation.prefix, 0), revision: this._revision};
+				return {type: 'entries', entries: this._entriesWithPrefix(operation.prefix, 0), revision: this._revision};
 			}
 
 			case 'compare-and-swap': {
@@ -60,7 +60,7 @@
 
 			case 'grant-lease': {
 				const leaseId = `lease-${this._nextLease++}`;
-				this._leases.set(leaseId, {milliseconds: operation.milliseconds, until: now + operation.milliseconds, keys: new Set()});
+				this._leases.set(leaseId, {milliseconds: operation.milliseconds, expiresAt: now + operation.milliseconds, keys: new Set()});
 				return {type: 'lease', leaseId, milliseconds: operation.milliseconds};
 			}
 
@@ -76,7 +76,7 @@
 
 	/** What changed under the prefix after the revision; undefined = nothing yet. */
 	changes(prefix: string, after: Revision): Extract<StoreReply, {type: 'changes'}> | undefined {
-		const entries = this._under(prefix, after);
+		const entries = this._entriesWithPrefix(prefix, after);
 		const deleted = [...this._deleted].filter(([key, revision]) => revision > after && key.startsWith(prefix)).map(([key]) => key);
 		return entries.length + deleted.length === 0
 			? undefined
@@ -89,7 +89,7 @@
 	expireLeases(now: Instant): boolean {
 		const before = this._revision;
 		for (const [leaseId, lease] of this._leases) {
-			if (lease.until <= now) {
+			if (lease.expiresAt <= now) {
 				this._endLease(leaseId);
 			}
 		}
@@ -97,7 +97,7 @@
 		return this._revision !== before;
 	}
 
-	private _under(prefix: string, after: Revision): StoreEntry[] {
+	private _entriesWithPrefix(prefix: string, after: Revision): StoreEntry[] {
 		return [...this._entries.values()]
 			.filter(entry => entry.revision > after && entry.key.startsWith(prefix))
 			.toSorted((first, second) => first.key < second.key ? -1 : 1);
@@ -105,13 +105,13 @@
 
 	private _compareAndSwap(operation: Extract<StoreOperation, {type: 'compare-and-swap'}>): StoreReply | undefined {
 		const {key, expected, value, leaseId} = operation;
-		if (value.length > valueLimitBytes) {
+		if (value.length > maxValueBytes) {
 			return undefined;
 		}
 
-		const present = this._entries.get(key);
-		if ((present?.revision ?? 0) !== expected) {
-			return {type: 'conflict', entry: present};
+		const current = this._entries.get(key);
+		if ((current?.revision ?? 0) !== expected) {
+			return {type: 'conflict', entry: current};
 		}
 
 		const lease = leaseId === undefined ? undefined : this._leases.get(leaseId);
@@ -132,9 +132,9 @@
 	}
 
 	private _delete(operation: Extract<StoreOperation, {type: 'delete'}>): StoreReply {
-		const present = this._entries.get(operation.key);
-		if ((present?.revision ?? 0) !== operation.expected) {
-			return {type: 'conflict', entry: present};
+		const current = this._entries.get(operation.key);
+		if ((current?.revision ?? 0) !== operation.expected) {
+			return {type: 'conflict', entry: current};
 		}
 
 		this._remove(operation.key);
@@ -154,7 +154,7 @@
 			return {type: 'lease-lost'};
 		}
 
-		lease.until = now + lease.milliseconds;
+		lease.expiresAt = now + lease.milliseconds;
 		return {type: 'lease', leaseId, milliseconds: lease.milliseconds};
 	}
 
--- a/src/stand-ins/platform/platform-stand-in.ts
+++ b/src/stand-ins/platform/platform-stand-in.ts
@@ -34,12 +34,12 @@
 	private readonly _changed = this._register(new Emitter<void>());
 	private readonly _listener: HttpListener;
 	private readonly _counts: PlatformCounts = {};
-	private readonly _ended = new AbortController();
+	private readonly _disposeController = new AbortController();
 	private _faults: Required<PlatformFaults> = {
 		mode: 'up', delayMilliseconds: 0, loseAnswers: 0, stale: false,
 	};
 
-	private _oldCopy: KeyValueStore | undefined;
+	private _staleCopy: KeyValueStore | undefined;
 
 	constructor(port = 0, address = '127.0.0.1') {
 		super();
@@ -48,7 +48,7 @@
 			void answer(request, response);
 		}));
 		this._register(toDisposable(() => {
-			this._ended.abort();
+			this._disposeController.abort();
 		}));
 	}
 
@@ -73,7 +73,7 @@
 	/** Changes the faults; what is left out stays. */
 	setFaults(faults: PlatformFaults): void {
 		if (faults.stale !== undefined && faults.stale !== this._faults.stale) {
-			this._oldCopy = faults.stale ? this._keyValues.copy() : undefined;
+			this._staleCopy = faults.stale ? this._keyValues.copy() : undefined;
 		}
 
 		this._faults = {...this._faults, ...faults};
@@ -91,8 +91,8 @@
 
 	private _routes(): Hono<{Bindings: HttpBindings}> {
 		const routes = new Hono<{Bindings: HttpBindings}>();
-		routes.post('/kv', async context => this._answerOperation(context));
-		routes.get('/vms', async context => this._answerVms(context));
+		routes.post('/kv', async context => this._handleOperation(context));
+		routes.get('/vms', async context => this._handleVms(context));
 		routes.get('/admin/counts', context => context.json(this._counts));
 		routes.post('/admin/faults', async context => {
 			const faults = platformFaultsSchema.safeParse(await context.req.json());
@@ -104,14 +104,14 @@
 			return context.json(this._faults);
 		});
 		routes.post('/admin/vms', async context => {
-			const order = platformVmsSchema.safeParse(await context.req.json());
-			if (!order.success) {
-				return context.json({message: order.error.message}, 400);
+			const update = platformVmsSchema.safeParse(await context.req.json());
+			if (!update.success) {
+				return context.json({message: update.error.message}, 400);
 			}
 
-			this.setVmLag(order.data.lagMilliseconds ?? 0);
-			if (order.data.vms !== undefined) {
-				this.setVms(order.data.vms);
+			this.setVmLag(update.data.lagMilliseconds ?? 0);
+			if (update.data.vms !== undefined) {
+				this.setVms(update.data.vms);
 			}
 
 			return context.json({});
@@ -120,9 +120,9 @@
 	}
 
 	/** Plays the present mode; true = the call goes on. */
-	private async _passesFaults(context: PlatformContext): Promise<boolean> {
+	private async _applyFaults(context: PlatformContext): Promise<boolean> {
 		if (this._faults.mode === 'slow') {
-			await delay(this._faults.delayMilliseconds, undefined, {signal: this._ended.signal}).catch(() => undefined);
+			await delay(this._faults.delayMilliseconds, undefined, {signal: this._disposeController.signal}).catch(() => undefined);
 		}
 
 		if (this._faults.mode === 'down') {
@@ -137,16 +137,16 @@
 		this._counts[type] = (this._counts[type] ?? 0) + 1;
 	}
 
-	private async _answerVms(context: PlatformContext): Promise<Response> {
+	private async _handleVms(context: PlatformContext): Promise<Response> {
 		this._count('vms');
-		if (!await this._passesFaults(context)) {
+		if (!await this._applyFaults(context)) {
 			return RESPONSE_ALREADY_SENT;
 		}
 
-		return this._faults.mode === 'refusing' ? context.json({type: 'unavailable'}, 503) : context.json(this._vms.shown(performance.now()));
+		return this._faults.mode === 'refusing' ? context.json({type: 'unavailable'}, 503) : context.json(this._vms.visible(performance.now()));
 	}
 
-	private async _answerOperation(context: PlatformContext): Promise<Response> {
+	private async _handleOperation(context: PlatformContext): Promise<Response> {
 		const parsed = storeOperationSchema.safeParse(await context.req.json().catch(() => undefined));
 		if (!parsed.success) {
 			return context.json({message: parsed.error.message}, 400);
@@ -154,7 +154,7 @@
 
 		const operation = parsed.data;
 		this._count(operation.type);
-		if (!await this._passesFaults(context)) {
+		if (!await this._applyFaults(context)) {
 			return RESPONSE_ALREADY_SENT;
 		}
 
@@ -167,7 +167,7 @@
 			return context.json({message: 'value: longer than a megabyte'}, 413);
 		}
 
-		if (this._losesAnswer(operation, reply)) {
+		if (this._consumeLostAnswer(operation, reply)) {
 			context.env.incoming.socket.destroy();
 			return RESPONSE_ALREADY_SENT;
 		}
@@ -175,7 +175,7 @@
 		return context.json(reply);
 	}
 
-	private _losesAnswer(operation: StoreOperation, reply: StoreReply): boolean {
+	private _consumeLostAnswer(operation: StoreOperation, reply: StoreReply): boolean {
 		const tookEffect = isWrite(operation) && (reply.type === 'written' || reply.type === 'lease');
 		if (!tookEffect || this._faults.loseAnswers === 0) {
 			return false;
@@ -186,7 +186,7 @@
 	}
 
 	private _storeFor(operation: StoreOperation): KeyValueStore {
-		return isRead(operation) && this._oldCopy !== undefined ? this._oldCopy : this._keyValues;
+		return isRead(operation) && this._staleCopy !== undefined ? this._staleCopy : this._keyValues;
 	}
 
 	private _handle(operation: Exclude<StoreOperation, {type: 'watch'}>): StoreReply | undefined {
@@ -201,30 +201,30 @@
 	}
 
 	private async _watch(operation: Extract<StoreOperation, {type: 'watch'}>): Promise<StoreReply> {
-		const look = (): StoreReply | undefined => this._storeFor(operation).changes(operation.prefix, operation.after);
-		const nothing = (): StoreReply => ({
+		const findChanges = (): StoreReply | undefined => this._storeFor(operation).changes(operation.prefix, operation.after);
+		const emptyReply = (): StoreReply => ({
 			type: 'changes', entries: [], deleted: [], revision: this._storeFor(operation).revision,
 		});
-		const first = look();
-		if (first !== undefined) {
-			return first;
+		const immediateReply = findChanges();
+		if (immediateReply !== undefined) {
+			return immediateReply;
 		}
 
 		return new Promise(resolve => {
-			const waiting = this._register(new DisposableStore());
+			const disposables = this._register(new DisposableStore());
 			const finish = (reply: StoreReply): void => {
-				this._store.delete(waiting);
+				this._store.delete(disposables);
 				resolve(reply);
 			};
 
 			const timer = setTimeout(() => {
-				finish(nothing());
+				finish(emptyReply());
 			}, operation.milliseconds);
-			waiting.add(toDisposable(() => {
+			disposables.add(toDisposable(() => {
 				clearTimeout(timer);
 			}));
-			waiting.add(this._changed.event(() => {
-				const reply = look();
+			disposables.add(this._changed.event(() => {
+				const reply = findChanges();
 				if (reply !== undefined) {
 					finish(reply);
 				}
--- a/src/stand-ins/process-entry.ts
+++ b/src/stand-ins/process-entry.ts
@@ -25,10 +25,10 @@
 		},
 	);
 	// With its sockets and timers gone nothing keeps the process alive.
-	const end = (): void => {
+	const stop = (): void => {
 		standIn.dispose();
 	};
 
-	process.once('SIGTERM', end);
-	process.once('SIGINT', end);
+	process.once('SIGTERM', stop);
+	process.once('SIGINT', stop);
 }
--- a/src/stand-ins/stand-ins.test.ts
+++ b/src/stand-ins/stand-ins.test.ts
@@ -24,11 +24,11 @@
 		store.dispose();
 	});
 
-	async function startPlatform(): Promise<{platform: PlatformStandIn; ask: (operation: StoreOperation) => Promise<unknown>}> {
+	async function startPlatform(): Promise<{platform: PlatformStandIn; send: (operation: StoreOperation) => Promise<unknown>}> {
 		const platform = store.add(new PlatformStandIn());
 		const started = await platform.start();
 		const port = started._unsafeUnwrap();
-		const ask = async (operation: StoreOperation): Promise<unknown> => {
+		const send = async (operation: StoreOperation): Promise<unknown> => {
 			try {
 				const answer = await request(`http://127.0.0.1:${port}/kv`, {method: 'POST', body: JSON.stringify(operation)});
 				return await answer.body.json();
@@ -37,7 +37,7 @@
 			}
 		};
 
-		return {platform, ask};
+		return {platform, send};
 	}
 
 	async function startBackendServer(settings: ConstructorParameters<typeof BackendServerStandIn>[0] = {}): Promise<{server: BackendServerStandIn; origin: string}> {
@@ -49,27 +49,27 @@
 
 	describe('platform', () => {
 		it('writes by compare-and-swap, wakes watches, counts calls, forgets the keys of a lapsed lease', async function () {
-			const {platform, ask} = await startPlatform();
-			const waiting = ask({
+			const {platform, send} = await startPlatform();
+			const waiting = send({
 				type: 'watch', prefix: 'a/', after: 0, milliseconds: 5000,
 			});
 			const log = [
-				await ask({
+				await send({
 					type: 'compare-and-swap', key: 'a/1', expected: 0, value: 'one',
 				}),
 				await waiting,
-				await ask({
+				await send({
 					type: 'compare-and-swap', key: 'a/1', expected: 0, value: 'two',
 				}),
-				await ask({type: 'grant-lease', milliseconds: 60}),
-				await ask({
+				await send({type: 'grant-lease', milliseconds: 60}),
+				await send({
 					type: 'compare-and-swap', key: 'a/2', expected: 0, value: 'leased', leaseId: 'lease-1',
 				}),
-				await ask({
+				await send({
 					type: 'watch', prefix: 'a/', after: 2, milliseconds: 5000,
 				}),
-				await ask({type: 'keep-lease', leaseId: 'lease-1'}),
-				await ask({type: 'list', prefix: 'a/'}),
+				await send({type: 'keep-lease', leaseId: 'lease-1'}),
+				await send({type: 'list', prefix: 'a/'}),
 				platform.counts(),
 			];
 			expect(log).toMatchSnapshot(this);
@@ -78,27 +78,27 @@
 		// A user sees a change refused that is in force: the write takes effect, the connection is cut
 		// before the answer, and the writer that takes the cut for "nothing happened" is wrong.
 		it('loses the answer of a write that took effect, answers from an old copy, goes down', async function () {
-			const {platform, ask} = await startPlatform();
+			const {platform, send} = await startPlatform();
 			platform.setFaults({loseAnswers: 1});
 			const log = [
-				await ask({
+				await send({
 					type: 'compare-and-swap', key: 'k', expected: 0, value: 'taken',
 				}),
-				await ask({type: 'get', key: 'k'}),
+				await send({type: 'get', key: 'k'}),
 			];
 			platform.setFaults({stale: true});
-			await ask({
+			await send({
 				type: 'compare-and-swap', key: 'k', expected: 1, value: 'newer',
 			});
-			log.push(await ask({type: 'get', key: 'k'}));
+			log.push(await send({type: 'get', key: 'k'}));
 			platform.setFaults({stale: false, mode: 'down'});
-			log.push(await ask({
+			log.push(await send({
 				type: 'compare-and-swap', key: 'k', expected: 2, value: 'never',
 			}));
 			platform.setFaults({mode: 'refusing'});
-			log.push(await ask({type: 'get', key: 'k'}));
+			log.push(await send({type: 'get', key: 'k'}));
 			platform.setFaults({mode: 'up'});
-			log.push(await ask({type: 'get', key: 'k'}), await ask({
+			log.push(await send({type: 'get', key: 'k'}), await send({
 				type: 'compare-and-swap', key: 'k', expected: 2, value: 'x'.repeat(1_048_577),
 			}));
 			expect(log.map(entry => typeof entry === 'object' && entry !== null && 'message' in entry ? 'refused' : entry)).toMatchSnapshot(this);
@@ -168,7 +168,7 @@
 			const other = await request(`${origin}/film`, {headers: {...headers('r', 0, length), range: 'bytes=65000-', 'if-range': '"other"'}});
 			expect(other.statusCode).toEqual(200);
 			await other.body.dump();
-			server.order({isDraining: true});
+			server.update({isDraining: true});
 			const marked = await request(`${origin}/film`, {headers: headers('d', 0)});
 			await marked.body.dump();
 			expect(marked.headers['jaydale-leaving']).toEqual('true');
@@ -186,13 +186,13 @@
 			}));
 			const first = await request(`${origin}/x`, {headers: headers('first', 0), dispatcher: held});
 			await first.body.dump();
-			server.order({mode: 'silent'});
+			server.update({mode: 'silent'});
 			const silent = await request(`${origin}/x`, {headers: headers('silent', 0), dispatcher: held, signal: AbortSignal.timeout(50)}).catch(() => 'silence');
 			expect(silent).toEqual('silence');
 			const fresh = await request(`${origin}/x`, {headers: headers('fresh', 0)});
 			await fresh.body.dump();
 			expect(fresh.statusCode).toEqual(200);
-			server.order({mode: 'crash-on-mark'});
+			server.update({mode: 'crash-on-mark'});
 			const crashed = await request(`${origin}/x`, {headers: {...headers('crash', 0), [crashHeader]: 'true'}}).catch(() => 'cut');
 			expect(crashed).toEqual('cut');
 		});
@@ -216,7 +216,7 @@
 	});
 
 	describe('caller', () => {
-		const order = (callId: string): OutgoingCall => ({
+		const makeOrder = (callId: string): OutgoingCall => ({
 			callId, service: 's', method: 'POST', path: '/orders', body: Buffer.from('order'), answerBytes: 8, workMilliseconds: 0, timeoutMilliseconds: 2000,
 		});
 
@@ -244,7 +244,7 @@
 			const listening = await listener.listen();
 			port = listening._unsafeUnwrap();
 			const caller = store.add(new Caller({
-				name: 'c', seeds: [`127.0.0.1:${port}`], triesLimit: 3, connectionsPerVm: 4,
+				name: 'c', seeds: [`127.0.0.1:${port}`], maxTries: 3, connectionsPerVm: 4,
 			}, seededRandom(1)));
 			return {caller, count: () => calls};
 		}
@@ -252,15 +252,15 @@
 		// A customer is billed twice: the first answer is lost on the way, and the caller sends again.
 		it('sends a non-idempotent call again only after "not run"', async () => {
 			const cut = await startVm(() => 'cut');
-			const first = await cut.caller.call(order('1'));
+			const first = await cut.caller.call(makeOrder('1'));
 			expect(first.outcome).toEqual('lost');
 			expect(cut.count()).toEqual(1);
 			const unknown = await startVm(() => ({status: 502, outcome: 'unknown'}));
-			const second = await unknown.caller.call(order('2'));
+			const second = await unknown.caller.call(makeOrder('2'));
 			expect(second.outcome).toEqual('unknown');
 			expect(unknown.count()).toEqual(1);
 			const refused = await startVm(() => ({status: 503, outcome: 'not-run'}));
-			const third = await refused.caller.call(order('3'));
+			const third = await refused.caller.call(makeOrder('3'));
 			expect(third.outcome).toEqual('not-run');
 			expect(refused.count()).toEqual(3);
 		});
