--- a/src/cli/api-client.ts
+++ b/src/cli/api-client.ts
@@ -1,4 +1,4 @@
-/** Talks to the resource API of one of several VMs. */
+/** HTTP client of the resource API, with failover between several VMs. */
 import {err, ok, type Result} from 'neverthrow';
 import {type z} from 'zod';
 import {failure, type Failure} from '../common/errors/failure.ts';
@@ -6,32 +6,32 @@
 import {problemSchema, type Problem} from '../node/api/types.ts';
 import {type HttpResponse, type Terminal} from './types.ts';
 
-/** Why a request came to nothing. */
+/** Why a request failed. */
 export type ClientFailure
-	/** No VM could be reached: nothing was sent, nothing was changed. */
+	/** No connection to any VM: no request was sent, so nothing was changed. */
 	= | Failure<'unreachable'>
-	/** The request was sent and no answer came. */
+	/** The request was sent, but no response arrived: whether it took effect is unknown. */
 		| Failure<'no-answer'>
-	/** Something answered that is no resource API. */
+	/** The response does not come from a resource API of this version. */
 		| Failure<'not-jaydale'>
-	/** The API's own refusal. */
+	/** The API rejected the request. */
 		| (Failure<'problem'> & {readonly problem: Problem});
 
 type RequestOptions = {
 	readonly body?: unknown;
-	/** Time to wait for the answer. */
+	/** Limit for the whole exchange; `defaultTimeoutMilliseconds` if absent. */
 	readonly timeoutMilliseconds?: number;
 };
 
-/** A VM answers a change within seconds even while the platform's service is slow. */
+/** A VM answers a change within a few seconds, even while the platform's service is slow. */
 const defaultTimeoutMilliseconds = 15_000;
 
-/** The codes by which Node and undici say that no connection came about, so nothing was sent. */
+/** Error codes of Node and undici for a connection that was not established, so that no request was sent. */
 const notConnectedCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EAI_AGAIN', 'UND_ERR_CONNECT_TIMEOUT']);
 
-/** Sends requests to the first VM that takes them. */
+/** Sends each request to the first VM that accepts it. */
 export class ApiClient {
-	/** In the order of trying; one that left a request without answer goes to the end. */
+	/** In the order in which they are tried. A server that does not respond to a request moves to the end. */
 	private _servers: readonly string[];
 	private readonly _token: string;
 	private readonly _terminal: Terminal;
@@ -42,15 +42,18 @@
 		this._terminal = terminal;
 	}
 
-	/** A request whose answer has a body. */
+	/** Sends a request and parses the response body with the schema. */
 	async request<Schema extends z.ZodType>(method: string, path: string, schema: Schema, options: RequestOptions = {}): Promise<Result<z.infer<Schema>, ClientFailure>> {
 		const answer = await this.send(method, path, options);
 		return answer.andThen(text => parseBody(text, schema));
 	}
 
-	/** A request whose answer's body does not matter. Reads go on to the next VM when one does not answer. */
+	/**
+	 * Sends a request and returns the raw response body. The next VM is tried if the request was not sent or the
+	 * VM is not ready; after a missing response only for GET, since any other request may have taken effect.
+	 */
 	async send(method: string, path: string, options: RequestOptions = {}): Promise<Result<string, ClientFailure>> {
-		let lastFailure: ClientFailure = failure('unreachable', 'no server is named');
+		let lastFailure: ClientFailure = failure('unreachable', 'no server address given');
 		for (const server of this._servers) {
 			const outcome = await this._sendTo(server, method, path, options);
 			if (outcome.isOk()) {
@@ -90,7 +93,7 @@
 	}
 }
 
-/** A VM that has just started took nothing: another one may have its configuration. */
+/** A VM that has just started rejects all requests until it has a configuration; another VM may have one already. */
 function isNotReady(value: ClientFailure): boolean {
 	return value.kind === 'problem' && value.problem.type === `${problemTypePrefix}not-ready`;
 }
@@ -103,7 +106,7 @@
 
 	const parsed = problemSchema.safeParse(parseJson(text));
 	if (!parsed.success || !parsed.data.type.startsWith(problemTypePrefix)) {
-		return err(failure('not-jaydale', `the answer has status ${answer.status} and is none of jaydale's; is the address right?`));
+		return err(failure('not-jaydale', `the response has status ${answer.status} and does not come from jaydale; check the address`));
 	}
 
 	return err({...failure('problem', `${parsed.data.title}: ${parsed.data.detail}`), problem: parsed.data});
@@ -111,7 +114,7 @@
 
 function parseBody<Schema extends z.ZodType>(text: string, schema: Schema): Result<z.infer<Schema>, ClientFailure> {
 	const parsed = schema.safeParse(parseJson(text));
-	return parsed.success ? ok(parsed.data) : err(failure('not-jaydale', 'the answer is not in the form of this version of jaydale'));
+	return parsed.success ? ok(parsed.data) : err(failure('not-jaydale', 'the response does not match the schema of this version of jaydale'));
 }
 
 function parseJson(text: string): unknown {
--- a/src/cli/call-story.test.ts
+++ b/src/cli/call-story.test.ts
@@ -11,9 +11,9 @@
 	service: 'orders', outcome: 'unknown', reason: 'outcome-unknown', trail: 'first at 2 ms to i-9: 0/6 calls, work time 1, report 0 ms old',
 };
 
-describe('the story of a call', () => {
-	// Guards operators against a call's trace that lacks the lines of other VMs or of its backend server's crash.
-	it('gathers its lines of all VMs in order, and what was believed of its backend servers', () => {
+describe('call trace', () => {
+	// Guards against a trace without the lines of other VMs or without the crash of the backend server that ran the call.
+	it('collects the lines of a call from all VMs by time, with the events of its backend servers', () => {
 		const log = [
 			line(12, 'vm-2', 'call ended', {
 				traceId: 'c-1', ...call, outcome: 'ran', trail: '',
@@ -24,7 +24,7 @@
 			line(11, 'vm-1', 'backend server gone', {backendServer: 'i-8', service: 'documents'}),
 			line(30, 'vm-1', 'configuration adopted', {version: 4}),
 			line(10, 'vm-3', 'configuration adopted', {version: 4}),
-			'not a line of ours',
+			'not a log line of jaydale',
 		].join('\n');
 		expect(traceCall('c-1', log)).toEqual({
 			callLines: 2,
@@ -37,7 +37,7 @@
 		});
 	});
 
-	it('reads lines before which a collector has put words of its own', () => {
+	it('parses a line to which a log collector has added a prefix', () => {
 		expect(traceCall('c-1', `  3.0733 edge-1 ${line(10, 'vm-1', 'call ended', {traceId: 'c-1', ...call})}`).callLines).toEqual(1);
 	});
 });
--- a/src/cli/call-story.ts
+++ b/src/cli/call-story.ts
@@ -1,10 +1,10 @@
-/** The story of one call, from the log lines of several VMs. */
+/** Extracts the trace of one call from the log lines of several VMs. */
 import {z} from 'zod';
 
-/** Lines about backend servers and the store are told if they were written within this many milliseconds of the call. */
+/** Context lines are included if the same VM logged them within this time of a line of the call. */
 const contextWindowMilliseconds = 3000;
 
-/** Messages that explain what a VM believed when it decided; all others tell of other calls. */
+/** Messages that explain a VM's decisions: changes of its configuration, backend servers, store and stage. All other messages belong to single calls. */
 const contextMessages: ReadonlySet<string> = new Set([
 	'configuration adopted',
 	'configuration rejected; the one in force stays',
@@ -33,18 +33,18 @@
 
 type Line = z.infer<typeof lineSchema>;
 
-/** What was found of a call. */
+/** Result of a search for one call. */
 export type CallTrace = {
-	/** Lines for people, oldest first. */
+	/** Formatted lines of the call and of its context, oldest first. */
 	readonly lines: readonly string[];
-	/** Lines of the call itself; the others tell what its VMs believed. */
+	/** How many of the lines belong to the call itself; the others are context. */
 	readonly callLines: number;
-	/** Lines of the input that are no log lines. */
+	/** How many lines of the input are not log lines of jaydale. */
 	readonly unreadableLines: number;
 };
 
 function parse(text: string): Line | undefined {
-	// Collectors put their own words before a line.
+	// Log collectors add a prefix to each line.
 	const start = text.indexOf('{');
 	if (start === -1) {
 		return undefined;
@@ -63,14 +63,17 @@
 	return [time, vm, level === 'info' ? '' : level, message, ...details].filter(word => word !== '').join(' ');
 }
 
-/** Words by which a line about a belief touches the call: its service and the backend servers that it was sent to. */
+/** Names that relate a context line to the call: its service and the backend servers to which it was sent. */
 function namesInCall(calls: readonly Line[]): string[] {
 	const trails = calls.flatMap(({trail}) => typeof trail === 'string' ? [...trail.matchAll(/ to (?<server>[^:]+):/gv)].map(match => match.groups!.server!) : []);
 	const services = calls.flatMap(({service}) => typeof service === 'string' ? [service] : []);
 	return [...trails, ...services];
 }
 
-/** All lines of the call, and what its VMs came to believe of its backend servers, the store and themselves near it. */
+/**
+ * Finds all lines of the call, and the context lines that the same VMs logged near it: those about its service and backend
+ * servers, and those that concern the VM as a whole.
+ */
 export function traceCall(traceId: string, log: string): CallTrace {
 	const lines = log.split('\n').filter(text => text.trim() !== '');
 	const parsed = lines.map(text => parse(text));
--- a/src/cli/change-sender.ts
+++ b/src/cli/change-sender.ts
@@ -1,4 +1,4 @@
-/** Sends a change until its outcome is known, and tells what became of it. */
+/** Sends a change until its outcome is known, and reports the outcome. */
 import {type Result} from 'neverthrow';
 import {
 	changeAcceptedSchema, vmListSchema, type ChangeAccepted, type ChangeRequest, type VmStatus,
@@ -8,27 +8,27 @@
 import {reportFailure} from './session.ts';
 import {type CommandContext, type OptionDefinition, type Terminal} from './types.ts';
 
-/** Seconds: a change that is not in force everywhere after an hour needs an operator's eyes. */
+/** After an hour without the change in force on every VM, an operator has to look for the cause. */
 const maxWaitSeconds = 3600;
 
 /** Options of every command that changes resources. */
 export const changeOptions: readonly OptionDefinition[] = [
-	{name: 'note', valueName: 'TEXT', description: 'Why; stands in the history'},
-	{name: 'operation', valueName: 'ID', description: 'Identity of an earlier try whose outcome is unknown: the same change is not made twice'},
+	{name: 'note', valueName: 'TEXT', description: 'Reason for the change, stored in the history'},
+	{name: 'operation', valueName: 'ID', description: 'Operation id of an earlier attempt with unknown outcome; the change is not made twice'},
 	{
-		name: 'wait', valueName: 'SECONDS', description: 'Wait until the change is in force on every live VM, at most so long', max: maxWaitSeconds,
+		name: 'wait', valueName: 'SECONDS', description: 'Wait at most this long until the change is in force on every live VM', max: maxWaitSeconds,
 	},
 ];
 
 /**
- * A change whose answer is lost is sent again with the same identity, which settles it. The tries span
- * a change of the platform's leader, not an outage: an operator should learn of that soon.
+ * A change without a response is sent again with the same operation id, so that it is made at most once. The attempts
+ * last long enough for a change of leader in the platform's service, but not for an outage, which is reported soon.
  */
 const maxAttempts = 5;
 const resendMilliseconds = 1000;
 const versionPollMilliseconds = 250;
 
-/** Sends a change, tells its outcome, and waits for it to be in force if asked to. */
+/** Sends a change, prints its outcome, and with `--wait` waits until it is in force. `subject` begins the success message. */
 export async function sendChange(context: CommandContext, client: ApiClient, mutations: ChangeRequest['mutations'], subject: string): Promise<ExitCode> {
 	const {terminal, options} = context;
 	const request: ChangeRequest = {
@@ -57,7 +57,7 @@
 			return outcome;
 		}
 
-		terminal.printError(`its outcome is not known yet; sending the same change again (${attempt} of ${maxAttempts - 1})`);
+		terminal.printError(`outcome unknown; sending the same change again (${attempt} of ${maxAttempts - 1})`);
 		await terminal.sleep(resendMilliseconds);
 	}
 }
@@ -69,9 +69,9 @@
 function reportFailedChange(terminal: Terminal, request: ChangeRequest, value: ClientFailure): ExitCode {
 	const code = reportFailure(terminal, value);
 	if (code === exitCodes.unknown) {
-		terminal.printError('  It is not known whether the change was accepted. Give the same command again with');
+		terminal.printError('  The change may or may not have been accepted. To find out, repeat the command with');
 		terminal.printError(`  --operation ${request.operation}`);
-		terminal.printError('  to settle it: the change is not made twice.');
+		terminal.printError('  The change is not made twice.');
 	}
 
 	return code;
@@ -96,7 +96,7 @@
 	}
 }
 
-/** A dead VM serves nobody; a suspected one may still serve, so it is waited for. */
+/** Whether a VM must have the version: a dead VM serves no calls, but a suspected one may still serve some. */
 function isRequired(vm: VmStatus): boolean {
 	return vm.state !== 'dead';
 }
--- a/src/cli/check-arguments.ts
+++ b/src/cli/check-arguments.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the arguments before sade sees them. sade ends the process with exit code 1 and its own words
- * at the first fault; operators get every exit code as documented and a suggestion for a mistyped word.
+ * Validates the arguments before sade parses them. At the first fault sade would end the process with exit code 1 and a
+ * message of its own; these checks give the documented exit codes and suggest a correction for a misspelt word.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {failure, type Failure} from '../common/errors/failure.ts';
@@ -9,30 +9,30 @@
 
 export type ArgumentFailure = Failure<'no-command' | 'unknown-command' | 'unknown-option' | 'lacking-value' | 'wrong-value' | 'wrong-parameters'>;
 
-/** Options that every command has, sade's own. */
+/** Options that sade adds to every command. */
 const helpOptions: readonly OptionDefinition[] = [
 	{name: 'help', short: 'h', description: ''},
 	{name: 'version', short: 'v', description: ''},
 ];
 
-/** The words of a command, without its parameters. */
+/** The words of a command without its parameters, such as `vm drain`. */
 export function commandName(definition: CommandDefinition): string {
 	return usageWords(definition).filter(part => !/^[<\[]/v.test(part)).join(' ');
 }
 
-/** Whether the arguments only ask for help or the version, which sade answers. */
+/** Whether the arguments request help or the version, which sade prints. */
 export function isHelpRequest(argv: readonly string[]): boolean {
 	return argv.some(word => ['-h', '--help', '-v', '--version'].includes(word));
 }
 
-/** The command that the arguments name, if they fit it. */
+/** Finds the command that the arguments name, and checks its options and parameters. */
 export function checkArguments(argv: readonly string[], definitions: readonly CommandDefinition[]): Result<CommandDefinition, ArgumentFailure> {
 	return findCommand(positionalArguments(argv, definitions.flatMap(definition => definition.options)), definitions)
 		.andThen(definition => checkOptions(argv, definition))
 		.andThen(definition => checkParameters(positionalArguments(argv, definition.options), definition));
 }
 
-/** The command that the words begin with. */
+/** Finds the command whose name the words begin with. */
 export function findCommand(words: readonly string[], definitions: readonly CommandDefinition[]): Result<CommandDefinition, ArgumentFailure> {
 	const names = definitions.map(definition => commandName(definition));
 	if (words.length === 0) {
@@ -43,7 +43,7 @@
 	return found === undefined ? err(unknownCommand(words, names)) : ok(found);
 }
 
-/** The words that are neither options nor their values. */
+/** The arguments that are neither options nor values of options. */
 export function positionalArguments(argv: readonly string[], options: readonly OptionDefinition[]): string[] {
 	const words: string[] = [];
 	for (let index = 0; index < argv.length; index++) {
@@ -64,13 +64,13 @@
 		const found = words.slice(0, 2).join(' ');
 		const suggestion = words.length > 1 ? closestName(found, subcommands) : undefined;
 		const hint = suggestion === undefined ? `allowed: ${subcommands.join(', ')}` : `did you mean "${suggestion}"?`;
-		return failure('unknown-command', `"${found}" is no command; ${hint}`);
+		return failure('unknown-command', `"${found}" is not a command; ${hint}`);
 	}
 
 	const suggestion = closestName(words.slice(0, 2).join(' '), names) ?? closestName(words[0]!, names);
 	return failure('unknown-command', suggestion === undefined
-		? `"${words[0]}" is no command; allowed: ${names.join(', ')}`
-		: `"${words[0]}" is no command; did you mean "${suggestion}"?`);
+		? `"${words[0]}" is not a command; allowed: ${names.join(', ')}`
+		: `"${words[0]}" is not a command; did you mean "${suggestion}"?`);
 }
 
 function checkOptions(argv: readonly string[], definition: CommandDefinition): Result<CommandDefinition, ArgumentFailure> {
@@ -129,11 +129,11 @@
 	const declared = usageWords(definition).filter(part => /^[<\[]/v.test(part));
 	const missing = declared.filter(part => part.startsWith('<')).slice(found.length);
 	if (missing.length > 0) {
-		return err(failure('wrong-parameters', `${missing.join(' ')} ${missing.length === 1 ? 'is' : 'are'} lacking; usage: jaydale ${definition.usage}`));
+		return err(failure('wrong-parameters', `${missing.join(' ')} ${missing.length === 1 ? 'is' : 'are'} missing; usage: jaydale ${definition.usage}`));
 	}
 
 	return found.length > declared.length
-		? err(failure('wrong-parameters', `"${found[declared.length]}" is one parameter too many; usage: jaydale ${definition.usage}`))
+		? err(failure('wrong-parameters', `"${found[declared.length]}" is an unexpected parameter; usage: jaydale ${definition.usage}`))
 		: ok(definition);
 }
 
@@ -141,7 +141,7 @@
 	return definition.usage.split(' ');
 }
 
-/** Whether a word is an option; a lone dash stands for standard input. */
+/** Whether a word is an option. A single dash is not: it stands for standard input. */
 export function isOption(word: string): boolean {
 	return word.startsWith('-') && word !== '-';
 }
@@ -150,7 +150,7 @@
 	return word.includes('=') ? !word.endsWith('=') : next !== undefined && !isOption(next);
 }
 
-/** The option that a word such as `--file=a` or `-f` names. */
+/** Finds the option that a word such as `--file=a` or `-f` names. */
 export function findOption(word: string, options: readonly OptionDefinition[]): OptionDefinition | undefined {
 	const name = word.replace(/^--?/v, '').split('=', 1)[0]!;
 	return options.find(option => word.startsWith('--') ? option.name === name : option.short === name);
--- a/src/cli/command-line-page.test.ts
+++ b/src/cli/command-line-page.test.ts
@@ -3,10 +3,10 @@
 import {exitCodes} from './exit-codes.ts';
 import {allCommands} from './run.ts';
 
-describe('the command line\'s page', () => {
+describe('operators\' page of the command line', () => {
 	const page = readFileSync('docs/operators/command-line.md', 'utf8');
 
-	it('names every command, every option of its own, and every exit code', () => {
+	it('lists every command with its own options, the common options and all exit codes', () => {
 		const commands = allCommands(async () => 0);
 		const common = new Set(['server', 'token-file', 'format', 'note', 'operation', 'wait']);
 		const lacking = commands.flatMap(({usage, options}) => {
--- a/src/cli/commands/apply.ts
+++ b/src/cli/commands/apply.ts
@@ -1,4 +1,4 @@
-/** `jaydale apply`: makes what files declare be in force, all of it together. */
+/** `jaydale apply`: applies the resources of files in one change. */
 import {isDeepStrictEqual} from 'node:util';
 import {Result} from 'neverthrow';
 import {failure} from '../../common/errors/failure.ts';
@@ -21,19 +21,19 @@
 type Step = {
 	readonly action: 'create' | 'replace' | 'delete' | 'unchanged';
 	readonly key: ResourceKey;
-	/** Undefined = there is nothing to send. */
+	/** Undefined if the resource to delete does not exist. */
 	readonly mutation: Mutation | undefined;
 };
 
 export const applyCommand: CommandDefinition = {
 	usage: 'apply',
-	description: 'Put resources from TOML files in force, all in one change. Resources that are not in the files stay as they are.',
+	description: 'Apply the resources of TOML files in one change. Resources that are not in the files stay unchanged.',
 	options: [
 		{
-			name: 'file', short: 'f', valueName: 'FILE', description: 'A TOML file, - for standard input; may stand several times',
+			name: 'file', short: 'f', valueName: 'FILE', description: 'TOML file, or - for standard input; may be repeated',
 		},
-		{name: 'delete', valueName: 'KIND/NAME', description: 'Delete this resource in the same change; may stand several times'},
-		{name: 'dry-run', description: 'Only show what would change'},
+		{name: 'delete', valueName: 'KIND/NAME', description: 'Delete this resource in the same change; may be repeated'},
+		{name: 'dry-run', description: 'Show the changes without making them'},
 		...changeOptions,
 		formatOption,
 		...sessionOptions,
@@ -52,7 +52,7 @@
 		}
 
 		if (paths.length + deletions.value.length === 0) {
-			return reportInvalidInput(context.terminal, failure('wrong-parameter', 'nothing to apply; allowed: -f FILE, once or several times', {field: '--file'}));
+			return reportInvalidInput(context.terminal, failure('wrong-parameter', 'nothing to apply; allowed: -f FILE or --delete KIND/NAME, which may be repeated', {field: '--file'}));
 		}
 
 		const resources = await readResourceFiles(context.terminal, paths);
@@ -75,7 +75,7 @@
 		terminal.printError(`${step.action} ${step.key}`);
 	}
 
-	// An earlier try may have been accepted: sending it again tells its version.
+	// An earlier attempt may have been accepted. Sending it again returns its version, even if nothing is left to change.
 	const isResend = options.text('operation') !== undefined;
 	if (options.isSet('dry-run') || (changed.length === 0 && !isResend)) {
 		terminal.printError(changed.length === 0 ? 'nothing to change' : `${changed.length} to change; nothing was changed (--dry-run)`);
@@ -86,7 +86,7 @@
 	return sendChange(context, client, mutations, `${mutations.length} ${mutations.length === 1 ? 'resource' : 'resources'}`);
 }
 
-/** Each step names the version it was planned against, so that a change that comes between is not overwritten. */
+/** Each step expects the version that was read, so that a concurrent change is not overwritten. */
 function planSteps(resources: readonly Resource[], deletions: readonly ResourceKey[], current: readonly StoredResource[]): Step[] {
 	const byKey = new Map(current.map(item => [resourceKey(item.resource), item]));
 	return [
@@ -105,7 +105,7 @@
 	return {action: isDeepStrictEqual(current.resource, resource) ? 'unchanged' : 'replace', key, mutation};
 }
 
-/** What is gone already needs no deletion. */
+/** A resource that does not exist needs no deletion. */
 function planDelete(key: ResourceKey, current: StoredResource | undefined): Step {
 	return current === undefined
 		? {action: 'unchanged', key, mutation: undefined}
--- a/src/cli/commands/burn.ts
+++ b/src/cli/commands/burn.ts
@@ -1,4 +1,4 @@
-/** `jaydale burn`: the report on service-level burn over all VMs. */
+/** `jaydale burn`: reports the burn rates of all services' error budgets, over all VMs. */
 import {
 	burnReportSchema, burnWindowNames, type BurnReport, type ServiceBurn,
 } from '../../common/burn/types.ts';
@@ -10,7 +10,7 @@
 
 export const burnCommand: CommandDefinition = {
 	usage: 'burn',
-	description: 'Report how fast each service spends its error budget, gathered from all VMs, and what was spent on measuring. A burn rate of 1 spends the budget exactly by the end of its window.',
+	description: 'Show the burn rate of each service\'s error budget over all VMs, and the measuring calls made. A burn rate of 1 spends exactly the whole budget within its window.',
 	options: [formatOption, ...sessionOptions],
 	examples: ['burn', 'burn --format json'],
 	async run(context) {
--- a/src/cli/commands/delete.ts
+++ b/src/cli/commands/delete.ts
@@ -1,4 +1,4 @@
-/** `jaydale delete`: takes a resource out of force. */
+/** `jaydale delete`: deletes a resource. */
 import {storedResourceSchema, type ResourceKey} from '../../common/model/resources.ts';
 import {type ApiClient} from '../api-client.ts';
 import {changeOptions, sendChange} from '../change-sender.ts';
@@ -12,10 +12,10 @@
 
 export const deleteCommand: CommandDefinition = {
 	usage: 'delete <kind> <name>',
-	description: 'Delete a resource. If somebody changes it in between, nothing is changed.',
+	description: 'Delete a resource. Nothing is changed if another operator changes it at the same time.',
 	options: [
 		{
-			name: 'expected', valueName: 'VERSION', description: 'Only if it is at this version (else the version that is in force now)', max: Number.MAX_SAFE_INTEGER,
+			name: 'expected', valueName: 'VERSION', description: 'Delete only this version of the resource (default: the version in force)', max: Number.MAX_SAFE_INTEGER,
 		},
 		...changeOptions,
 		formatOption,
--- a/src/cli/commands/edit.ts
+++ b/src/cli/commands/edit.ts
@@ -1,6 +1,6 @@
 /**
- * `jaydale edit`: changes single fields of a resource. Fields are set on the command line and no editor
- * is opened: the program starts no other process, and what was changed can be repeated from a script.
+ * `jaydale edit`: sets fields of a resource. Fields are set by options, not in an editor: the program starts no other
+ * process, and the same edit can be repeated from a script.
  */
 import {err, ok, type Result} from 'neverthrow';
 import {failure} from '../../common/errors/failure.ts';
@@ -21,9 +21,9 @@
 
 export const editCommand: CommandDefinition = {
 	usage: 'edit <kind> <name>',
-	description: 'Set single fields of a resource. If somebody changes it in between, nothing is changed.',
+	description: 'Set fields of a resource. Nothing is changed if another operator changes it at the same time.',
 	options: [
-		{name: 'set', valueName: 'FIELD=VALUE', description: 'A field by its path and a value as in TOML; may stand several times'},
+		{name: 'set', valueName: 'FIELD=VALUE', description: 'Field path and TOML value; may be repeated'},
 		...changeOptions,
 		formatOption,
 		...sessionOptions,
@@ -41,7 +41,7 @@
 		}
 
 		return context.options.texts('set').length === 0
-			? reportInvalidInput(context.terminal, failure('wrong-parameter', 'nothing to set; allowed: --set FIELD=VALUE, once or several times', {field: '--set'}))
+			? reportInvalidInput(context.terminal, failure('wrong-parameter', 'nothing to set; allowed: --set FIELD=VALUE, which may be repeated', {field: '--set'}))
 			: withSession(context, async client => edit(context, client, key.value));
 	},
 };
@@ -59,7 +59,7 @@
 		: sendChange(context, client, [{type: 'put', resource: edited.value, expected: metadata.version}], key);
 }
 
-/** The resource with the fields set, checked as a whole. */
+/** Returns a copy of the resource with the fields set, validated as a whole. The error lists all faults. */
 export function setFields(resource: Resource, assignments: readonly string[]): Result<Resource, InputFailure[]> {
 	const draft: unknown = structuredClone(resource);
 	const faults = assignments.flatMap(assignment => setField(draft, assignment));
@@ -74,14 +74,14 @@
 
 	return resourceKey(parsed.data) === resourceKey(resource)
 		? ok(parsed.data)
-		: err([failure('not-allowed', 'a resource keeps its kind and name; allowed: delete it and apply another', {field: 'name'})]);
+		: err([failure('not-allowed', 'the kind and name of a resource cannot change; allowed: delete it and apply another one', {field: 'name'})]);
 }
 
 function setField(draft: unknown, assignment: string): InputFailure[] {
 	const [path = '', ...rest] = assignment.split('=');
 	const value = parseToml(`value = ${rest.join('=')}`).unwrapOr(undefined);
 	if (rest.length === 0 || !isTable(value)) {
-		return [failure('not-allowed', `found ${JSON.stringify(assignment)}; allowed: FIELD=VALUE with a value as in TOML, such as priority=9 or name="a"`, {field: '--set'})];
+		return [failure('not-allowed', `found ${JSON.stringify(assignment)}; allowed: FIELD=VALUE with a TOML value, such as priority=9 or name="a"`, {field: '--set'})];
 	}
 
 	const parents = path.split('.');
@@ -95,7 +95,7 @@
 		return [failure('unknown-key', `found ${JSON.stringify(path)}; allowed: a field of the resource, such as measuring.tailWeight`, {field: '--set'})];
 	}
 
-	// Defined, not assigned: a path such as __proto__ must become an own key, which the schema then refuses.
+	// Defines the property instead of assigning it: `__proto__` must become an own key, which the schema then rejects.
 	Object.defineProperty(table, last, {
 		value: value.value, enumerable: true, configurable: true, writable: true,
 	});
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,13 +1,13 @@
-/** `jaydale explain`: the story of one call from the logs of all VMs. */
+/** `jaydale explain`: prints the trace of one call from the logs of all VMs. */
 import {traceCall} from '../call-story.ts';
 import {exitCodes} from '../exit-codes.ts';
 import {type CommandDefinition} from '../types.ts';
 
 export const explainCommand: CommandDefinition = {
 	usage: 'explain <call>',
-	description: 'Tell what became of one call and why, by its id, from logs of one or more VMs on standard input or in a file.',
+	description: 'Show the log lines that explain the outcome of the call with this id, from logs of one or more VMs on standard input or in a file.',
 	options: [{
-		name: 'file', short: 'f', valueName: 'FILE', description: 'Log lines of all VMs; - reads standard input', defaultValue: '-',
+		name: 'file', short: 'f', valueName: 'FILE', description: 'Log lines of all VMs, or - for standard input', defaultValue: '-',
 	}],
 	examples: ['explain 0ba0f0c395e28069 --file all-vms.log'],
 	async run({parameters, options, terminal}) {
@@ -23,11 +23,11 @@
 		}
 
 		if (trace.unreadableLines > 0) {
-			terminal.printError(`${trace.unreadableLines} lines are no log lines of jaydale and were left out`);
+			terminal.printError(`skipped ${trace.unreadableLines} lines that are not log lines of jaydale`);
 		}
 
 		if (trace.callLines === 0) {
-			terminal.printError(`no line tells of the call ${parameters[0]}; "leftOut" on other lines counts calls that were not written`);
+			terminal.printError(`no log line of call ${parameters[0]} found; "leftOut" on other lines counts calls that were not logged`);
 			return exitCodes.notFound;
 		}
 
--- a/src/cli/commands/get.ts
+++ b/src/cli/commands/get.ts
@@ -1,4 +1,4 @@
-/** `jaydale get`: the declared resources in force. */
+/** `jaydale get`: shows the declared resources in force. */
 import {ok, type Result} from 'neverthrow';
 import {
 	storedResourceSchema, type Resource, type ResourceKey, type ResourceKind, type StoredResource,
@@ -19,21 +19,21 @@
 type Format = (typeof formats)[number];
 
 type GetRequest = {
-	/** Query of the list. */
+	/** Query parameters of a list request; unused if `key` is set. */
 	readonly query: string;
-	/** The one resource asked for. */
+	/** Key of a single requested resource; undefined for a list. */
 	readonly key: ResourceKey | undefined;
 	readonly format: Format;
 };
 
 export const getCommand: CommandDefinition = {
 	usage: 'get [kind] [name]',
-	description: 'Show resources in force on the VM that answers. One by name comes as TOML that apply takes back.',
+	description: 'Show resources in force on the VM that answers. A single resource is shown as TOML that apply accepts.',
 	options: [
 		{
-			name: 'format', valueName: 'FORMAT', description: 'table, json or toml (else table for lists, toml for one)', choices: formats,
+			name: 'format', valueName: 'FORMAT', description: 'table, json or toml (default: table for lists, toml for a single resource)', choices: formats,
 		},
-		{name: 'service', valueName: 'NAME', description: 'Only what belongs to this service'},
+		{name: 'service', valueName: 'NAME', description: 'Only resources of this service'},
 		...sessionOptions,
 	],
 	examples: ['get', 'get service', 'get --service ordering', 'get service ordering', 'get backend-server --format json'],
@@ -71,7 +71,7 @@
 	const list = await readAll(client, request.query);
 	return list.match(value => {
 		if (value.hasMixedVersions) {
-			terminal.printError('the configuration changed while it was read: parts are of different versions');
+			terminal.printError('the configuration changed during the read: the resources may be of different versions');
 		}
 
 		return printItems(context, value.items, JSON.stringify({version: value.version, items: value.items}), request.format);
--- a/src/cli/commands/history.ts
+++ b/src/cli/commands/history.ts
@@ -1,4 +1,4 @@
-/** `jaydale history`: the latest changes. */
+/** `jaydale history`: shows the latest changes, or the outcome of one operation. */
 import {historySchema, operationStateSchema, type ChangeRecord} from '../../node/api/types.ts';
 import {type ApiClient} from '../api-client.ts';
 import {formatChanges} from '../describe-changes.ts';
@@ -11,17 +11,17 @@
 
 const maxRecords = 1000;
 const defaultRecords = 20;
-/** More keys than this are counted, not listed. */
+/** Changed keys listed per record; further ones are only counted. */
 const maxListedKeys = 2;
 
 export const historyCommand: CommandDefinition = {
 	usage: 'history',
-	description: 'Show the latest changes, the newest first: who, when, what, and on how many VMs they are in force.',
+	description: 'Show the latest changes, newest first: time, operator, resources, and on how many VMs each change is in force.',
 	options: [
 		{
-			name: 'limit', valueName: 'N', description: 'At most so many', defaultValue: String(defaultRecords), max: maxRecords,
+			name: 'limit', valueName: 'N', description: 'Maximum number of changes', defaultValue: String(defaultRecords), max: maxRecords,
 		},
-		{name: 'operation', valueName: 'ID', description: 'Only tell what became of this operation'},
+		{name: 'operation', valueName: 'ID', description: 'Show only the outcome of this operation'},
 		formatOption,
 		...sessionOptions,
 	],
@@ -46,14 +46,14 @@
 	return outcome.match(state => {
 		printAnswer(context, state, () => [state.state === 'accepted'
 			? `accepted as version ${state.version}`
-			: 'not among the changes in force on this VM; it may still be under way: give the same command again with --operation to settle it']);
+			: 'not among the changes in force on this VM; it may still be in progress: repeat the command with --operation to find out']);
 		return state.state === 'accepted' ? exitCodes.done : exitCodes.notFound;
 	}, value => reportReadFailure(context.terminal, value));
 }
 
 function formatRecords(records: readonly ChangeRecord[]): string[] {
 	if (records.length === 0) {
-		return ['nothing was ever changed'];
+		return ['no changes yet'];
 	}
 
 	return formatTable(['VERSION', 'WHEN', 'WHO', 'WHAT', 'IN FORCE ON', 'NOTE'], records.map(record => [
--- a/src/cli/commands/log-level.ts
+++ b/src/cli/commands/log-level.ts
@@ -1,4 +1,4 @@
-/** `jaydale log-level`: shows or changes the level of a running VM's log. */
+/** `jaydale log-level`: shows or changes the log level of a running VM. */
 import {settingsSchema, type LogLevel} from '../../common/settings/settings.ts';
 import {logLevelSchema} from '../../node/api/types.ts';
 import {type ApiClient} from '../api-client.ts';
--- a/src/cli/commands/parameters.ts
+++ b/src/cli/commands/parameters.ts
@@ -1,4 +1,4 @@
-/** Parameters that several commands take. */
+/** Parses parameters that several commands share. */
 import {err, ok, type Result} from 'neverthrow';
 import {failure, type Failure} from '../../common/errors/failure.ts';
 import {nameSchema, type ResourceKey, type ResourceKind} from '../../common/model/resources.ts';
@@ -7,7 +7,7 @@
 
 export type ParameterFailure = Failure<'wrong-parameter'>;
 
-/** A kind of resource; the plural is understood too. */
+/** Parses a resource kind; the plural is accepted too. */
 export function parseKind(word: string): Result<ResourceKind, ParameterFailure> {
 	const kinds = resourceKindSchema.options;
 	const found = kinds.find(kind => word === kind || word === `${kind}s`);
@@ -20,14 +20,14 @@
 	return err(failure('wrong-parameter', `found ${JSON.stringify(word)}; allowed: ${kinds.join(', ')}${hint}`, {field: 'kind'}));
 }
 
-/** A resource by kind and name. */
+/** Parses a resource key from a kind and a name. */
 export function parseResourceKey(kind: string, name: string): Result<ResourceKey, ParameterFailure> {
 	return parseKind(kind).andThen(value => nameSchema.safeParse(name).success
 		? ok<ResourceKey, ParameterFailure>(`${value}/${name}`)
 		: err(failure('wrong-parameter', `found ${JSON.stringify(name)}; allowed: 1 to 63 lower-case letters, digits and dashes`, {field: 'name'})));
 }
 
-/** One of a few words. */
+/** Parses one of a fixed set of words. The failure suggests the closest one. */
 export function parseChoice<Choice extends string>(field: string, found: string | undefined, choices: readonly Choice[]): Result<Choice, ParameterFailure> {
 	const word = choices.find(candidate => candidate === found);
 	if (word !== undefined) {
--- a/src/cli/commands/quarantine.ts
+++ b/src/cli/commands/quarantine.ts
@@ -1,4 +1,4 @@
-/** `jaydale quarantine`: calls that are refused because they crashed backend servers. */
+/** `jaydale quarantine`: lists and lifts the quarantine of calls that crashed backend servers. */
 import {quarantineSchema, type QuarantineEntry} from '../../node/api/types.ts';
 import {exitCodes} from '../exit-codes.ts';
 import {
@@ -9,7 +9,7 @@
 
 export const quarantineListCommand: CommandDefinition = {
 	usage: 'quarantine list',
-	description: 'List the calls that are refused because backend servers crashed while they ran.',
+	description: 'List the calls that are rejected because backend servers crashed while running them.',
 	options: [formatOption, ...sessionOptions],
 	examples: ['quarantine list', 'quarantine list --format json'],
 	async run(context) {
@@ -27,7 +27,7 @@
 
 export const quarantineLiftCommand: CommandDefinition = {
 	usage: 'quarantine lift <fingerprint>',
-	description: 'Let a quarantined call run again, for instance after its cause was mended.',
+	description: 'Allow a quarantined call to run again, for example after its cause has been fixed.',
 	options: sessionOptions,
 	examples: ['quarantine lift 2x9k1mz0q4'],
 	async run(context) {
--- a/src/cli/commands/serve.ts
+++ b/src/cli/commands/serve.ts
@@ -7,20 +7,20 @@
 import {formatFailure} from '../describe-for-people.ts';
 import {reportInvalidInput} from './tell-wrong-input.ts';
 
-/** Runs the daemon until its planned stop has ended. Loaded when needed: the other commands start faster without it. */
+/** Runs the daemon until its planned stop has finished. Passed in so that the other commands start without loading the daemon. */
 export type RunDaemon = (settings: Settings, tokens: readonly OperatorToken[]) => Promise<ExitCode>;
 
-/** The command, for a way to run the daemon. */
+/** Creates the command with the function that runs the daemon. */
 export function serveCommand(runDaemon: RunDaemon): CommandDefinition {
 	return {
 		usage: 'serve',
-		description: 'Run the balancer of one VM. SIGTERM, SIGINT or SIGHUP begins the planned stop, which cuts off no call.',
+		description: 'Run the balancer of one VM. SIGTERM, SIGINT or SIGHUP starts the planned stop, which interrupts no call.',
 		options: [{name: 'settings', valueName: 'FILE', description: 'The VM\'s settings (TOML)'}],
 		examples: ['serve --settings /etc/jaydale/vm.toml'],
 		async run(context) {
 			const file = context.options.text('settings');
 			if (file === undefined) {
-				return reportInvalidInput(context.terminal, failure('wrong-parameter', 'no settings; allowed: --settings FILE', {field: '--settings'}));
+				return reportInvalidInput(context.terminal, failure('wrong-parameter', 'no settings file given; allowed: --settings FILE', {field: '--settings'}));
 			}
 
 			const loaded = loadSettings(file).andThen(settings => loadTokens(settings.operators.tokensFile).map(tokens => ({settings, tokens})));
--- a/src/cli/commands/settings-check.ts
+++ b/src/cli/commands/settings-check.ts
@@ -1,4 +1,4 @@
-/** `jaydale settings check`: finds every fault of a settings file without starting anything. */
+/** `jaydale settings check`: reports every fault of a settings file without starting the daemon. */
 import {loadSettings} from '../../node/settings/load-settings.ts';
 import {formatFailure} from '../describe-for-people.ts';
 import {exitCodes} from '../exit-codes.ts';
@@ -6,7 +6,7 @@
 
 export const settingsCheckCommand: CommandDefinition = {
 	usage: 'settings check <file>',
-	description: 'Check a settings file and the files it names; tells every fault at once. Exit code 2 if there is one.',
+	description: 'Check a settings file and the files it names, and report every fault. Exit code 2 if there is one.',
 	options: [],
 	examples: ['settings check /etc/jaydale/vm.toml'],
 	async run(context) {
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,4 +1,4 @@
-/** `jaydale status`: what one VM does and knows. */
+/** `jaydale status`: shows the state of one VM. */
 import {statusSchema, type Status} from '../../node/api/types.ts';
 import {
 	formatOption, withSession, sessionOptions, printAnswer, reportReadFailure,
--- a/src/cli/commands/vm.ts
+++ b/src/cli/commands/vm.ts
@@ -1,4 +1,4 @@
-/** `jaydale vm`: the VMs of the system. */
+/** `jaydale vm`: lists and drains VMs. */
 import {vmListSchema, vmStatusSchema, type VmStatus} from '../../node/api/types.ts';
 import {
 	formatOption, withSession, sessionOptions, printAnswer, reportFailure, reportReadFailure,
@@ -8,7 +8,7 @@
 
 export const vmListCommand: CommandDefinition = {
 	usage: 'vm list',
-	description: 'List the VMs as the one that answers knows them, with the configuration version in force on each.',
+	description: 'List the VMs in the view of the VM that answers, with the configuration version in force on each.',
 	options: [formatOption, ...sessionOptions],
 	examples: ['vm list', 'vm list --format json'],
 	async run(context) {
@@ -33,7 +33,7 @@
 
 export const vmDrainCommand: CommandDefinition = {
 	usage: 'vm drain <vm>',
-	description: 'Make a VM leave and then stop: no caller is sent there any more, and no call or download is cut off. Takes the address or identity from vm list.',
+	description: 'Drain a VM and then stop it: callers no longer get its address, and no call or download is interrupted. Takes the address or identity from vm list.',
 	options: [formatOption, ...sessionOptions],
 	examples: ['vm drain 10.0.0.2:7001', 'vm drain Zm9vYmFyYmF6cXV4MDEyMw'],
 	async run(context) {
@@ -41,7 +41,7 @@
 		return withSession(context, async client => {
 			const outcome = await client.request('POST', `/v1/vms/${encodeURIComponent(vm)}/drain`, vmStatusSchema);
 			return outcome.match(
-				value => printAnswer(context, value, () => [`${value.address} has been told to leave; "jaydale vm list" shows when it is gone`]),
+				value => printAnswer(context, value, () => [`${value.address} is draining; "jaydale vm list" shows when it has left`]),
 				value => reportFailure(context.terminal, value),
 			);
 		});
--- a/src/cli/commands/watch.ts
+++ b/src/cli/commands/watch.ts
@@ -1,4 +1,4 @@
-/** `jaydale watch`: changes as they come into force. */
+/** `jaydale watch`: shows changes as they come into force. */
 import {watchUpdateSchema, type ChangeRecord, type WatchUpdate} from '../../node/api/types.ts';
 import {type ApiClient} from '../api-client.ts';
 import {formatChanges} from '../describe-changes.ts';
@@ -8,21 +8,21 @@
 } from '../session.ts';
 import {type CommandContext, type CommandDefinition} from '../types.ts';
 
-/** The API answers an idle poll after 25 s; an answer that is later than this will not come. */
+/** The API responds to a poll without changes after 25 s; a poll without a response after 30 s has failed. */
 const pollMilliseconds = 25_000;
 const requestTimeoutMilliseconds = 30_000;
 const retryMilliseconds = 1000;
 const maxFailures = 10;
 
-/** More keys than this are counted, not listed. */
+/** Changed keys listed per change; further ones are only counted. */
 const maxListedKeys = 5;
 
 export const watchCommand: CommandDefinition = {
 	usage: 'watch',
-	description: 'Show changes as they come into force on the VM that answers, until Ctrl-C. Goes on at another VM if that one stops.',
+	description: 'Show changes as they come into force on the VM that answers, until Ctrl-C. Continues on another VM if that one stops.',
 	options: [
 		{
-			name: 'after', valueName: 'VERSION', description: 'Begin after this version (else after the present one)', max: Number.MAX_SAFE_INTEGER,
+			name: 'after', valueName: 'VERSION', description: 'Start after this version (default: the current version)', max: Number.MAX_SAFE_INTEGER,
 		},
 		{
 			name: 'count', valueName: 'N', description: 'End after N changes', max: Number.MAX_SAFE_INTEGER,
@@ -36,7 +36,7 @@
 	},
 };
 
-/** One run of the command: polls by version, so that nothing is lost when a VM or connection goes away. */
+/** One run of the command. Polls by version, so that no change is missed when a VM stops or a connection breaks. */
 class Watcher {
 	private readonly _context: CommandContext;
 	private readonly _client: ApiClient;
@@ -85,7 +85,7 @@
 		return this._count > 0 && this._printedCount >= this._count;
 	}
 
-	/** Without a version the first poll asks for the present one and does not wait. */
+	/** Polls for changes after the version. Without a version, requests the current one without waiting. */
 	private async _poll(version: number | undefined) {
 		const query = version === undefined ? 'after=0&milliseconds=0' : `after=${version}&milliseconds=${pollMilliseconds}`;
 		return this._client.request('GET', `/v1/watch?${query}`, watchUpdateSchema, {timeoutMilliseconds: requestTimeoutMilliseconds});
@@ -99,7 +99,7 @@
 		}
 
 		if (update.isReset) {
-			terminal.printError(`the changes from version ${after + 1} on are no longer kept; going on from version ${update.version}`);
+			terminal.printError(`the changes from version ${after + 1} on are no longer in the history; continuing from version ${update.version}`);
 		}
 
 		for (const record of update.records) {
@@ -113,7 +113,7 @@
 	}
 }
 
-/** A change as one line. */
+/** Formats a change as one line. */
 function formatRecord(record: ChangeRecord): string {
 	return `version ${record.version} by ${record.operator}: ${formatChanges(record, maxListedKeys)}${record.note === '' ? '' : ` (${record.note})`}`;
 }
--- a/src/cli/describe-changes.ts
+++ b/src/cli/describe-changes.ts
@@ -1,7 +1,7 @@
-/** Changes of resources as one short text. */
+/** Formats changes of resources as one short text. */
 import {type ChangeRecord} from '../node/api/types.ts';
 
-/** The first keys with what became of them, and how many more there are; `--format json` tells all. */
+/** Lists the first `maxListed` changes by action and key, and counts the others. `--format json` lists all. */
 export function formatChanges(record: ChangeRecord, maxListed: number): string {
 	const {changes} = record;
 	const listed = changes.slice(0, maxListed).map(({action, key}) => `${action} ${key}`).join(', ');
--- a/src/cli/describe-for-people.ts
+++ b/src/cli/describe-for-people.ts
@@ -1,7 +1,7 @@
-/** Failures as sentences for a terminal. */
+/** Formats failures as messages for a terminal. */
 import {type Failure} from '../common/errors/failure.ts';
 
-/** The place, the sentence and the causes beneath; kinds are for programs and left out. */
+/** Joins the field, the message and the messages of the causes. Omits the kind, which only programs use. */
 export function formatFailure(value: Failure<string>): string {
 	const location = value.field.match({Just: field => `${field}: `, Nothing: () => ''});
 	const cause = value.cause.match({Just: inner => `: ${formatFailure(inner)}`, Nothing: () => ''});
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,21 +1,21 @@
-/** Exit codes of the command line: programs decide by them, so they never change their meaning. */
+/** Exit codes of the command line. Scripts depend on them, so their meaning must not change. */
 
 export const exitCodes = {
-	/** Done. */
+	/** The command succeeded. */
 	done: 0,
-	/** Not done: no VM answered, the platform's service was out, or this VM had a fault. Nothing was changed. */
+	/** The command failed: no VM answered, the platform's service was unavailable, or the VM had an internal error. Nothing was changed. */
 	failed: 1,
-	/** The input is not allowed: command, option, settings or resource. Nothing was changed. */
+	/** Invalid command, option, settings or resource. Nothing was changed. */
 	wrongInput: 2,
-	/** The resource, VM or call named does not exist. */
+	/** The named resource, VM, operation or call does not exist. */
 	notFound: 3,
-	/** Another change came first. Nothing was changed. */
+	/** Another change was made first. Nothing was changed by this one. */
 	conflict: 4,
-	/** The change may or may not have been accepted; send it again with its operation identity. */
+	/** The change may or may not have been accepted. Sending it again with the same operation id gives its outcome. */
 	unknown: 5,
-	/** The operator is not known or may not do this. Nothing was changed. */
+	/** The operator is unknown or lacks the permission. Nothing was changed. */
 	notAllowed: 6,
-	/** Accepted, but not in force on every VM within the time given by --wait. */
+	/** The change was accepted, but did not come into force on every VM within the time of `--wait`. */
 	notYetInForce: 7,
 } as const;
 
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,4 +1,4 @@
-/** Entry of the command `jaydale`. */
+/** Entry point of the command `jaydale`. */
 import process from 'node:process';
 import {processTerminal} from './process-terminal.ts';
 import {runDaemon} from './run-daemon.ts';
--- a/src/cli/options.ts
+++ b/src/cli/options.ts
@@ -1,8 +1,8 @@
-/** The options of one run, as given. */
+/** The options of one command run. */
 
 type Value = string | boolean | number | undefined | ReadonlyArray<string | boolean | number>;
 
-/** Reads options by name; the parser has checked that each is known and has a value. */
+/** Reads options by name. The parser has already checked that each option is known and has a valid value. */
 export class Options {
 	private readonly _values: Readonly<Record<string, Value>>;
 
@@ -10,12 +10,12 @@
 		this._values = values;
 	}
 
-	/** The value of an option; of several the last. */
+	/** The value of an option; the last one if the option was repeated. */
 	text(name: string): string | undefined {
 		return this.texts(name).at(-1);
 	}
 
-	/** All values of an option that may stand several times. */
+	/** All values of an option that may be repeated. */
 	texts(name: string): string[] {
 		const value = this._values[name];
 		if (value === undefined) {
@@ -25,7 +25,7 @@
 		return (typeof value === 'object' ? value : [value]).map(String);
 	}
 
-	/** The value of an option whose definition allows whole numbers only. */
+	/** The value of an option whose definition allows only whole numbers. */
 	number(name: string): number | undefined {
 		const text = this.text(name);
 		return text === undefined ? undefined : Number(text);
--- a/src/cli/process-terminal.ts
+++ b/src/cli/process-terminal.ts
@@ -1,4 +1,4 @@
-/** The terminal of the real process. */
+/** The `Terminal` of the current process. */
 import {randomUUID} from 'node:crypto';
 import {readFile} from 'node:fs/promises';
 import {performance} from 'node:perf_hooks';
@@ -10,17 +10,17 @@
 import {failure} from '../common/errors/failure.ts';
 import {type Terminal} from './types.ts';
 
-/** Standard input is read as a stream: reading its descriptor at once fails while a pipe is empty. */
+/** Reads standard input as a stream: a read of its file descriptor fails while a pipe is still empty. */
 const readText = ResultAsync.fromThrowable(
 	async (path: string) => path === '-' ? text(process.stdin) : readFile(path, 'utf8'),
 	error => failure('unreadable-file', `the file cannot be read: ${error instanceof Error ? error.message : String(error)}`),
 );
 
-/** Makes a terminal that ends its signal on Ctrl-C. */
+/** Creates a terminal whose signal aborts on Ctrl-C, or when standard output closes. */
 export function processTerminal(): Terminal {
 	const interruptController = new AbortController();
 	let hasInterruptHandler = false;
-	// Whoever read the output has gone, as with `jaydale watch | head -1`: nobody is left to work for.
+	// The reader of the output has closed the pipe, as in `jaydale watch | head -1`.
 	process.stdout.on('error', () => {
 		interruptController.abort();
 	});
@@ -34,7 +34,7 @@
 		environment: process.env,
 		readText,
 		async exchange(url, request) {
-			// Not `fetch`, which refuses some ports that an operator may choose.
+			// `fetch` blocks some ports that an operator may choose.
 			const answer = await sendRequest(url, request);
 			return {status: answer.statusCode, text: async () => answer.body.text()};
 		},
@@ -42,12 +42,12 @@
 			try {
 				await pause(milliseconds, undefined, {signal: interruptController.signal});
 			} catch {
-				// Ended early by the signal; whoever waits looks at it.
+				// The signal ended the pause early; the command checks the signal itself.
 			}
 		},
 		now: () => performance.now(),
 		get signal() {
-			// Only commands that ask for it: the daemon has its own way to stop.
+			// Handles SIGINT only for commands that use the signal: the daemon handles SIGINT by its planned stop.
 			if (!hasInterruptHandler) {
 				hasInterruptHandler = true;
 				process.once('SIGINT', () => {
--- a/src/cli/resource-files.ts
+++ b/src/cli/resource-files.ts
@@ -1,4 +1,4 @@
-/** Resources as operators write them: TOML with `[[service]]`, `[[backend-server]]` and `[[sharing-rule]]` tables. */
+/** Reads and writes resource files: TOML with `[[service]]`, `[[backend-server]]` and `[[sharing-rule]]` tables. */
 import {
 	err, ok, ResultAsync, type Result,
 } from 'neverthrow';
@@ -21,7 +21,7 @@
 
 export type FileFailure = Failure<'wrong-file'>;
 
-/** All resources of some files; every fault of every file is told at once. */
+/** Reads the resources of all files. The error lists the faults of every file. */
 export function readResourceFiles(terminal: Terminal, paths: readonly string[]): ResultAsync<Resource[], FileFailure[]> {
 	return ResultAsync.combineWithAllErrors(paths.map(path => readFile(terminal, path)))
 		.map(lists => lists.flat())
@@ -29,7 +29,7 @@
 		.andThen(checkUnique);
 }
 
-/** A resource as text that `apply` takes back. */
+/** Formats a resource as TOML that `apply` accepts. */
 export function formatResource(resource: Resource): string {
 	const {kind, ...fields} = resource;
 	return stringify({[kind]: [fields]}).trim();
@@ -63,5 +63,5 @@
 function checkUnique(resources: Resource[]): Result<Resource[], FileFailure[]> {
 	const seen = new Set<string>();
 	const repeated = resources.map(resourceKey).filter(key => seen.size === seen.add(key).size);
-	return repeated.length === 0 ? ok(resources) : err(repeated.map(key => failure('wrong-file', `${key} stands twice in the files; allowed: once`)));
+	return repeated.length === 0 ? ok(resources) : err(repeated.map(key => failure('wrong-file', `${key} is declared twice in the files; allowed: once`)));
 }
--- a/src/cli/resource-reader.ts
+++ b/src/cli/resource-reader.ts
@@ -1,26 +1,26 @@
-/** Reads resources from a VM in pieces, so that a large configuration never holds up its calls. */
+/** Reads resources from a VM in pages, so that a large configuration does not delay the VM's calls. */
 import {err, ok, type Result} from 'neverthrow';
 import {type ResourceKey, type StoredResource} from '../common/model/resources.ts';
 import {resourceListSchema} from '../node/api/types.ts';
 import {type ApiClient, type ClientFailure} from './api-client.ts';
 
-/** As many keys as one request may look up. */
+/** Limit of the API for keys in one request. */
 const maxKeysPerRequest = 50;
 
-/** What was read; the version is that of the last piece. */
+/** The resources read. The version is that of the last page. */
 export type ReadResources = {
 	readonly version: number;
 	readonly items: readonly StoredResource[];
-	/** The configuration changed between two pieces. */
+	/** The configuration changed between two pages, so that the resources may be of different versions. */
 	readonly hasMixedVersions: boolean;
 };
 
-/** All resources that a query such as `kind=service` names. */
+/** Reads all resources that match a query such as `kind=service`. */
 export async function readAll(client: ApiClient, query: string): Promise<Result<ReadResources, ClientFailure>> {
 	return readPages(client, next => next === undefined ? query : `${query}&after=${encodeURIComponent(next)}`);
 }
 
-/** Those of the keys that are in force. */
+/** Reads the resources in force with the given keys; a key without a resource is skipped. */
 export async function readKeys(client: ApiClient, keys: readonly ResourceKey[]): Promise<Result<ReadResources, ClientFailure>> {
 	let read: ReadResources = {version: 0, items: [], hasMixedVersions: false};
 	for (let index = 0; index < keys.length; index += maxKeysPerRequest) {
--- a/src/cli/run.test.ts
+++ b/src/cli/run.test.ts
@@ -29,7 +29,7 @@
 dataCentre = "gdansk-1"
 `;
 
-/** A user at a terminal whose VMs are resource APIs in memory. */
+/** Runs commands against two VM addresses that are served by one resource API in memory, and records the output. */
 class User {
 	readonly gateway = new FakeGateway();
 	readonly files = new Map<string, string>([['services.toml', services]]);
@@ -38,7 +38,7 @@
 		JAYDALE_TOKEN: 'write-token-of-hanna-123',
 	};
 
-	/** Servers that have no configuration yet, that refuse connections, and that take a request and never answer. */
+	/** Server addresses that have no configuration yet, that refuse connections, and that process requests without a response. */
 	readonly starting = new Set<string>();
 	readonly refusing = new Set<string>();
 	readonly silent = new Set<string>();
@@ -60,7 +60,7 @@
 		});
 	}
 
-	/** Everything shown so far; `! ` marks standard error. */
+	/** All output so far; `! ` marks standard error. */
 	get transcript(): readonly string[] {
 		return this._lines;
 	}
@@ -120,7 +120,7 @@
 		user = new User();
 	});
 
-	it('takes a new user from an empty system to services in force and back', async function () {
+	it('applies, shows, edits and deletes resources, starting from an empty system', async function () {
 		await user.run('get');
 		await user.run('apply', '-f', 'services.toml', '--dry-run');
 		await user.run('apply', '-f', 'services.toml', '--note', 'first', '--wait', '5');
@@ -142,7 +142,7 @@
 		expect(user.transcript).toMatchSnapshot(this);
 	});
 
-	it('shows and steers the VMs', async function () {
+	it('shows the VMs and services, and controls drain, quarantine and log level', async function () {
 		await user.run('status');
 		await user.run('vm', 'list');
 		await user.run('vm', 'drain', '10.0.0.2:7001');
@@ -179,7 +179,7 @@
 		expect(user.transcript).toMatchSnapshot(this);
 	});
 
-	it('answers wrong input with a clear sentence, a suggestion and exit code 2', async function () {
+	it('rejects invalid input with a message, a suggestion and exit code 2', async function () {
 		user.files.set('wrong.toml', '[[service]]\nname = "Ordering"\nprioritty = 3\n[[backend-servers]]\nname = "a"\n');
 		user.files.set('broken.toml', '[[service]\nname = "a"\n');
 		const lines = [
@@ -225,7 +225,7 @@
 		expect(user.gateway.version).toEqual(1);
 	});
 
-	it('refuses unknown operators and those who may only read', async function () {
+	it('rejects unknown operators, and changes by operators with the role read', async function () {
 		user.environment.JAYDALE_TOKEN = 'read-token-of-jan-123456';
 		await user.run('status', '--format', 'json');
 		await user.run('apply', '-f', 'services.toml');
@@ -238,8 +238,8 @@
 		expect(user.transcript).toMatchSnapshot(this);
 	});
 
-	// Guards an operator whose resource a colleague deletes meanwhile against a change that half takes effect.
-	it('tells the loser of a conflict that nothing was changed', async function () {
+	// Guards against a partial change when another operator changes the resource first.
+	it('reports a conflict without changing anything', async function () {
 		await user.run('apply', '-f', 'services.toml');
 		await user.run('edit', 'service', 'ordering', '--set', 'priority=9');
 		await user.run('delete', 'service', 'ordering', '--expected', '1');
@@ -247,8 +247,8 @@
 		expect(user.gateway.version).toEqual(2);
 	});
 
-	// Guards a change whose answer is lost against being made twice or told as refused.
-	it('settles a change whose answer was lost, and never makes it twice', async function () {
+	// Guards against a change that is made twice, or reported as rejected, because its response was lost.
+	it('makes a change once when its response is lost and the change is sent again', async function () {
 		user.gateway.mood = 'loses-answers';
 		await user.run('apply', '-f', 'services.toml');
 		expect(user.gateway.version).toEqual(1);
@@ -263,8 +263,8 @@
 		expect(user.transcript).toMatchSnapshot(this);
 	});
 
-	// Guards an operator's write against a false refusal where a connection closes without an answer.
-	it('goes on to another VM where that is safe', async function () {
+	// Guards against a change that is reported as rejected because a connection closed without a response.
+	it('tries another VM only where no change can be made twice', async function () {
 		user.starting.add('http://vm-1');
 		await user.run('get');
 		user.starting.clear();
@@ -279,7 +279,7 @@
 		expect(user.transcript).toMatchSnapshot(this);
 	});
 
-	it('helps with each command', async function () {
+	it('prints help for each command', async function () {
 		const texts: string[] = [];
 		const {log} = console;
 		console.log = (text: string) => texts.push(text);
@@ -306,7 +306,7 @@
 		expect(user.transcript.map(line => line.replaceAll(folder, 'FOLDER'))).toMatchSnapshot(this);
 	});
 
-	it('takes every example of both customers', async function () {
+	it('applies every example of both customers', async function () {
 		for (const customer of ['baltmor', 'cometa-alta']) {
 			for (const file of ['services.toml', 'backend-servers.toml']) {
 				user.files.set(`${customer}/${file}`, readFileSync(`examples/${customer}/${file}`, 'utf8'));
@@ -320,7 +320,7 @@
 		expect(user.transcript).toMatchSnapshot(this);
 	});
 
-	it('tells the version of the package', () => {
+	it('has the version of package.json', () => {
 		expect(JSON.parse(readFileSync('package.json', 'utf8'))).toEqual(expect.subset({version}));
 	});
 });
--- a/src/cli/run.ts
+++ b/src/cli/run.ts
@@ -1,4 +1,4 @@
-/** The command line as a function: arguments and a terminal in, an exit code out. */
+/** The command line as a function of arguments and a terminal that returns the exit code. */
 import sade from 'sade';
 import {
 	isHelpRequest, checkArguments, findCommand, findOption, isOption, positionalArguments,
@@ -24,7 +24,7 @@
 
 const programName = 'jaydale';
 
-/** All subcommands, in the order of the help. */
+/** All commands, in the order of the help. */
 export function allCommands(runDaemon: RunDaemon): CommandDefinition[] {
 	return [
 		serveCommand(runDaemon),
@@ -46,7 +46,7 @@
 	];
 }
 
-/** Runs the command that the arguments name; `given` leaves out the names of node and the program. */
+/** Runs the command that the arguments name; `argv` starts after the paths of node and the program. */
 export async function runCommandLine(argv: readonly string[], version: string, terminal: Terminal, runDaemon: RunDaemon): Promise<ExitCode> {
 	const definitions = allCommands(runDaemon);
 	if (isHelpRequest(argv)) {
@@ -56,7 +56,7 @@
 	const checked = checkArguments(argv, definitions);
 	if (checked.isErr()) {
 		terminal.printError(`${programName}: ${checked.error.message}`);
-		terminal.printError(`"${programName} --help" tells more`);
+		terminal.printError(`see "${programName} --help"`);
 		return exitCodes.wrongInput;
 	}
 
@@ -65,7 +65,7 @@
 	return definition.run({parameters, options: new Options(values), terminal});
 }
 
-/** sade writes the help; a word that is no command is told here, because sade would end the process. */
+/** Prints the help by sade. An unknown command is reported here first, because sade would end the process. */
 function help(argv: readonly string[], definitions: readonly CommandDefinition[], version: string, terminal: Terminal): ExitCode {
 	const words = positionalArguments(argv, definitions.flatMap(definition => definition.options));
 	if (words.length > 0) {
@@ -91,7 +91,7 @@
 			program.example(example);
 		}
 
-		// sade only parses: the command is run by whoever called.
+		// sade only parses the arguments; `runCommandLine` runs the command.
 		program.action(() => undefined);
 	}
 
@@ -112,7 +112,7 @@
 	return {parameters: reversed.toReversed(), values: toOptionValues(values)};
 }
 
-/** Writes `-f VALUE` as `--file=VALUE`: sade's parser takes no value that begins with a dash, such as `-f -`. */
+/** Rewrites `-f VALUE` as `--file=VALUE`: sade's parser rejects a separate value that begins with a dash, as in `-f -`. */
 function joinOptionValues(argv: readonly string[], options: readonly OptionDefinition[]): string[] {
 	const joined: string[] = [];
 	for (let index = 0; index < argv.length; index++) {
@@ -133,7 +133,7 @@
 	return option.short === undefined ? [option.name] : [option.name, option.short];
 }
 
-/** sade's types call every argument a string; the last one is the table of options. */
+/** Casts the last of sade's arguments, the object of options: sade's types declare every argument as a string. */
 function toOptionValues(values: unknown): ParsedArguments['values'] {
 	return typeof values === 'object' && values !== null ? {...values} : {};
 }
--- a/src/cli/session.ts
+++ b/src/cli/session.ts
@@ -1,4 +1,4 @@
-/** What the commands for operators have in common: where the API is, who asks, how failures are told. */
+/** Shared by the commands that send requests to a VM: API addresses, operator's token, output of results and failures. */
 import {errAsync, okAsync, type ResultAsync} from 'neverthrow';
 import {failure, type Failure} from '../common/errors/failure.ts';
 import {problemTypePrefix} from '../common/protocol/headers.ts';
@@ -12,18 +12,18 @@
 
 const defaultServer = 'http://127.0.0.1:7002';
 
-/** Options of every command that talks to a VM. */
+/** Options of every command that sends requests to a VM. */
 export const sessionOptions: readonly OptionDefinition[] = [
-	{name: 'server', valueName: 'URLS', description: `Resource APIs to try, separated by commas (else JAYDALE_SERVER, else ${defaultServer})`},
-	{name: 'token-file', valueName: 'FILE', description: 'File that holds the token alone (else JAYDALE_TOKEN_FILE, else JAYDALE_TOKEN)'},
+	{name: 'server', valueName: 'URLS', description: `Resource API addresses in order of preference, separated by commas (default: JAYDALE_SERVER, then ${defaultServer})`},
+	{name: 'token-file', valueName: 'FILE', description: 'File that contains only the token (default: JAYDALE_TOKEN_FILE, then JAYDALE_TOKEN)'},
 ];
 
-/** The option that chooses between tables and JSON. */
+/** Output format of a command: table or JSON. */
 export const formatOption: OptionDefinition = {
 	name: 'format', valueName: 'FORMAT', description: 'table or json', defaultValue: 'table', choices: ['table', 'json'],
 };
 
-/** A client for the VMs and operator that the options and environment name. */
+/** Creates a client with the addresses and token that the options or the environment give. */
 export function openSession(context: CommandContext): ResultAsync<ApiClient, SessionFailure> {
 	const {options, terminal} = context;
 	const servers = (options.text('server') ?? terminal.environment.JAYDALE_SERVER ?? defaultServer).split(',');
@@ -35,7 +35,7 @@
 	return findToken(context).map(token => new ApiClient(servers.map(server => server.replace(/\/$/v, '')), token, terminal));
 }
 
-/** Runs a command's work within a session; a failure to open one is wrong input. */
+/** Runs a command's action with a client. If no client can be created, the exit code is that for invalid input. */
 export async function withSession(context: CommandContext, action: (client: ApiClient) => Promise<ExitCode>): Promise<ExitCode> {
 	const session = await openSession(context);
 	if (session.isErr()) {
@@ -46,7 +46,7 @@
 	return action(session.value);
 }
 
-/** Prints an answer in the format asked for. */
+/** Prints a result in the requested format. */
 export function printAnswer(context: CommandContext, value: unknown, toLines: () => readonly string[]): ExitCode {
 	const lines = context.options.text('format') === 'json' ? [JSON.stringify(value)] : toLines();
 	for (const line of lines) {
@@ -56,7 +56,7 @@
 	return exitCodes.done;
 }
 
-/** Tells a failure and gives its exit code. */
+/** Prints a failure and returns its exit code. */
 export function reportFailure(terminal: Terminal, value: ClientFailure): ExitCode {
 	if (value.kind !== 'problem') {
 		terminal.printError(`jaydale: ${value.message}`);
@@ -71,14 +71,14 @@
 
 	if (problem.winner !== undefined) {
 		const {key, version, operator} = problem.winner;
-		const who = operator ?? 'an operator whose name the history no longer holds';
-		terminal.printError(version === 0 ? `  ${key} is gone, by ${who}` : `  ${key} is at version ${version}, by ${who}; read it and decide again`);
+		const who = operator ?? 'an operator who is no longer in the history';
+		terminal.printError(version === 0 ? `  ${key} was deleted by ${who}` : `  ${key} was changed by ${who} in version ${version}; read it again before you repeat the change`);
 	}
 
 	return exitCodeOf(problem);
 }
 
-/** As `tellFailure` for a read: an answer that did not come changed nothing. */
+/** As `reportFailure` for a read: without a response the outcome is not unknown, because a read changes nothing. */
 export function reportReadFailure(terminal: Terminal, value: ClientFailure): ExitCode {
 	const code = reportFailure(terminal, value);
 	return code === exitCodes.unknown ? exitCodes.failed : code;
@@ -97,7 +97,7 @@
 	return codes[problem.type.slice(problemTypePrefix.length)] ?? exitCodes.failed;
 }
 
-/** The token never stands on the command line, where other users of the machine could read it. */
+/** Reads the token from a file or the environment. The command line is visible to other users of the machine. */
 function findToken(context: CommandContext): ResultAsync<string, SessionFailure> {
 	const {environment} = context.terminal;
 	const file = context.options.text('token-file') ?? environment.JAYDALE_TOKEN_FILE;
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,6 +1,6 @@
-/** Tables for people. */
+/** Formats tables and durations for a terminal. */
 
-/** Lays rows out under their headings, two spaces apart; columns of numbers stand to the right. */
+/** Aligns rows under their headings, two spaces apart; numeric columns are right-aligned. */
 export function formatTable(headings: readonly string[], rows: ReadonlyArray<readonly string[]>): string[] {
 	const lines = [headings, ...rows];
 	const widths = headings.map((_, column) => Math.max(...lines.map(line => line[column]!.length)));
@@ -11,7 +11,7 @@
 		.trimEnd());
 }
 
-/** A span of time for people: `42 ms`, `3.4 s`, `12 min`. */
+/** Formats a duration, such as `42 ms`, `3.4 s` or `12 min`. */
 export function formatMilliseconds(value: number): string {
 	if (value < 1000) {
 		return `${Math.round(value)} ms`;
--- a/src/cli/types.ts
+++ b/src/cli/types.ts
@@ -1,16 +1,16 @@
-/** What commands, their parser and their surroundings share. */
+/** Types shared by the commands, the argument parser and the terminal. */
 import {type ResultAsync} from 'neverthrow';
 import {type Failure} from '../common/errors/failure.ts';
 import {type Options} from './options.ts';
 import {type ExitCode} from './exit-codes.ts';
 
-/** An HTTP answer, as far as the command line looks at it. */
+/** The parts of an HTTP response that the command line uses. */
 export type HttpResponse = {
 	readonly status: number;
 	text(): Promise<string>;
 };
 
-/** Sends one HTTP request; rejects when no answer came. */
+/** Sends one HTTP request; rejects if no response arrives. */
 export type SendHttpRequest = (url: string, request: {
 	readonly method: string;
 	readonly headers: Record<string, string>;
@@ -20,23 +20,23 @@
 
 export type ReadFailure = Failure<'unreadable-file'>;
 
-/** Everything outside the command line that a command may touch; tests bring their own. */
+/** All input and output of a command; tests replace it. */
 export type Terminal = {
-	/** A line to standard output. */
+	/** Writes a line to standard output. */
 	print(line: string): void;
-	/** A line to standard error. */
+	/** Writes a line to standard error. */
 	printError(line: string): void;
 	readonly environment: Readonly<Record<string, string | undefined>>;
 	/** Reads a file, or standard input for `-`. */
 	readText(path: string): ResultAsync<string, ReadFailure>;
 	readonly exchange: SendHttpRequest;
-	/** Waits; ends early when the signal does. */
+	/** Waits for the given time, or until the signal aborts. */
 	sleep(milliseconds: number): Promise<void>;
 	/** Milliseconds on a monotonic clock. */
 	now(): number;
-	/** Ends on Ctrl-C. */
+	/** Aborts on Ctrl-C. */
 	readonly signal: AbortSignal;
-	/** A new operation identity. */
+	/** Creates the operation id of a new change. */
 	newOperationId(): string;
 };
 
@@ -44,27 +44,27 @@
 export type OptionDefinition = {
 	readonly name: string;
 	readonly short?: string;
-	/** What stands for its value in the help; left out = a switch without value. */
+	/** Placeholder of the value in the help; absent for a switch, which has no value. */
 	readonly valueName?: string;
 	readonly description: string;
 	readonly defaultValue?: string;
-	/** A whole number from 0 on, at most this. */
+	/** The value must be a whole number from 0 to this limit. */
 	readonly max?: number;
 	/** The only values allowed. */
 	readonly choices?: readonly string[];
 };
 
-/** One run of a command. */
+/** Input of one command run. */
 export type CommandContext = {
-	/** In the order of the usage; optional ones may be undefined. */
+	/** In the order of the usage; an optional parameter may be undefined. */
 	readonly parameters: ReadonlyArray<string | undefined>;
 	readonly options: Options;
 	readonly terminal: Terminal;
 };
 
-/** A subcommand, as data: sade's help and the checks of the input both come from it. */
+/** A command. sade's help and the checks of the arguments are derived from it. */
 export type CommandDefinition = {
-	/** Words of the command, then `<required>` and `[optional]` parameters. */
+	/** Words of the command, followed by `<required>` and `[optional]` parameters. */
 	readonly usage: string;
 	readonly description: string;
 	readonly options: readonly OptionDefinition[];
--- a/src/cli/version.ts
+++ b/src/cli/version.ts
@@ -1,2 +1,2 @@
-/** The version that `jaydale --version` tells; a test holds it against package.json. */
+/** Printed by `jaydale --version`; a test compares it with package.json. */
 export const version = '0.1.0';
