--- a/src/stand-ins/answer-body.ts
+++ b/src/stand-ins/answer-body.ts
@@ -1,7 +1,7 @@
 /**
- * Bodies that can be checked byte for byte by whoever knows the call. Every 64 KiB block of a body
- * is a cut from one table of random bytes at a place that depends on the call, and begins with a stamp
- * of call and block number: a missing, swapped or foreign block shows, and 100 MB cost one copy.
+ * Deterministic response bodies, which a caller can verify byte by byte from the parameters of its call. Each 64 KiB block is
+ * a slice of one table of random bytes at an offset that depends on the call, and begins with a stamp of call and block
+ * number. So a missing, swapped or foreign block is detected, and generating 100 MB costs only one copy.
  */
 import {Buffer} from 'node:buffer';
 import {crc32} from 'node:zlib';
@@ -25,7 +25,7 @@
 
 const table = makeRandomTable();
 
-/** Digest of a request body, so that an answer proves that the whole of it arrived. */
+/** Digest of a request body. The response depends on it, and so shows that the whole request body arrived. */
 export function bodyDigest(body: Uint8Array): string {
 	return body.length === 0 ? '' : crc32(body).toString(16);
 }
@@ -34,7 +34,7 @@
 	return Math.floor(stamp / (256 ** index)) % 256;
 }
 
-/** What decides the bytes of an answer. */
+/** Parameters that determine the bytes of a response body. */
 export type BodyInputs = {
 	readonly method: string;
 	/** Path and query on the backend server. */
@@ -43,7 +43,7 @@
 	readonly requestDigest: string;
 };
 
-/** The body of one call's answer. */
+/** The response body of one call. */
 export class AnswerBody {
 	private readonly _hash: number;
 
@@ -51,12 +51,12 @@
 		this._hash = crc32(`${inputs.method} ${inputs.path} ${inputs.callId} ${inputs.requestDigest} ${length}`);
 	}
 
-	/** Strong validator: equal for equal bytes. */
+	/** Strong validator for `ETag` and `If-Range`: equal for equal bytes. */
 	get validator(): string {
 		return `"${this._hash.toString(16)}-${this.length}"`;
 	}
 
-	/** The bytes from `offset` to the end of its block or of the body. */
+	/** Returns the bytes from `offset` to the end of its block or of the body. */
 	chunk(offset: number): Buffer {
 		const block = Math.floor(offset / blockBytes);
 		const blockStart = block * blockBytes;
@@ -71,7 +71,7 @@
 		return bytes.subarray(offset - blockStart);
 	}
 
-	/** True if `bytes` are what stands at `offset`. Copies nothing, so that checking costs a caller little. */
+	/** Whether the body contains `bytes` at `offset`. Copies nothing, so that the check costs a caller little. */
 	matches(bytes: Uint8Array, offset: number): boolean {
 		if (offset + bytes.length > this.length) {
 			return false;
@@ -107,7 +107,7 @@
 		return table.compare(bytes, position, bytes.length, tableOffset + position, tableOffset + bytes.length) === 0;
 	}
 
-	/** Blocks of one body differ in the stamp alone; 2^32 of them would be 256 TiB. */
+	/** Blocks of one body differ only in the stamp, which repeats after 2^32 blocks (256 TiB). */
 	private _stamp(block: number): number {
 		return (this._hash + block) % (2 ** 32);
 	}
--- a/src/stand-ins/backend-server/backend-server-group.ts
+++ b/src/stand-ins/backend-server/backend-server-group.ts
@@ -1,11 +1,11 @@
-/** Several backend servers in one process, each on a port of its own: many of them cost little memory. */
+/** Runs several backend servers in one process, each on a port of its own, which saves memory. */
 import {ok, type Result} from 'neverthrow';
 import {Disposable} from '../../common/lifecycle/disposable.ts';
 import {type ListenFailure} from '../http-listener.ts';
 import {BackendServerStandIn} from './backend-server-stand-in.ts';
 import {type BackendServerSettings} from './types.ts';
 
-/** A group of one is an ordinary backend server. */
+/** Owns its backend servers. With a port other than 0 in the settings, they listen on consecutive ports from there. */
 export class BackendServerGroup extends Disposable {
 	private readonly _members: readonly BackendServerStandIn[];
 	private readonly _ports: number[] = [];
@@ -18,12 +18,12 @@
 		})));
 	}
 
-	/** The members' ports, in order. */
+	/** The ports of all backend servers, in order. */
 	get ports(): readonly number[] {
 		return this._ports;
 	}
 
-	/** Starts all; the value is the first one's port. */
+	/** Starts all backend servers, and resolves with the port of the first one. */
 	async start(): Promise<Result<number, ListenFailure>> {
 		for (const member of this._members) {
 			const started = await member.start();
--- a/src/stand-ins/backend-server/backend-server-stand-in.ts
+++ b/src/stand-ins/backend-server/backend-server-stand-in.ts
@@ -1,4 +1,4 @@
-/** Stand-in backend server: few slots, few connections, a load report that may lag, faults on order. */
+/** Stand-in for a backend server: limited slots and connections, a load report that may lag, and injectable faults. */
 import {randomBytes} from 'node:crypto';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {performance} from 'node:perf_hooks';
@@ -25,7 +25,7 @@
 
 const retryAfterSeconds = 1;
 
-/** Can be started in a test's process, or as a process by `main.ts`. */
+/** Runs within a test's process, or as a process of its own by `main.ts`. */
 export class BackendServerStandIn extends Disposable implements CallHost {
 	readonly settings: BackendServerSettings;
 	private readonly _slots: SlotQueue;
@@ -66,23 +66,23 @@
 		return this.settings.answerBytes;
 	}
 
-	/** Starts to listen; the value is the port. */
+	/** Starts to listen, and resolves with the port. */
 	async start(): Promise<Result<number, ListenFailure>> {
 		this._startedAt = performance.now();
 		return this._listener.listen();
 	}
 
-	/** Every call it ran, for an oracle. */
+	/** Records of all calls that were started, for the oracle; empty without `recordsCalls`. */
 	calls(): readonly CallRecord[] {
 		return this._records;
 	}
 
-	/** Counts since the start. */
+	/** Counts since construction. */
 	counts(): Readonly<BackendServerCounts> {
 		return this._counts;
 	}
 
-	/** Changes what the order names. */
+	/** Changes the given fields; absent ones stay unchanged. */
 	update(update: BackendServerUpdate): void {
 		this._mode = update.mode ?? this._mode;
 		this._slowFactor = update.slowFactor ?? this._slowFactor;
@@ -178,7 +178,7 @@
 
 	private _handleRequest(request: IncomingMessage, response: ServerResponse): void {
 		this._counts.mostConnections = Math.max(this._counts.mostConnections, this._listener.connections);
-		// The path between the two ends has lost track of this connection: nothing comes back, ever.
+		// Simulates a connection whose state a device on the network path has lost: no response ever arrives.
 		if (this._silentSockets.has(request.socket)) {
 			return;
 		}
@@ -238,7 +238,7 @@
 		});
 	}
 
-	/** Its word that nothing of the call ran or will run. */
+	/** Sends a response that declares that no part of the call was run or will be run. */
 	private _shed(run: CallRun): void {
 		this._counts.shed++;
 		run.response.writeHead(503, {
--- a/src/stand-ins/backend-server/call-run.ts
+++ b/src/stand-ins/backend-server/call-run.ts
@@ -1,4 +1,4 @@
-/** One call on a backend server: waits for a slot, works, answers, and stops when its caller goes. */
+/** One call on a backend server: works for a given time, then sends the response. The work stops if the connection closes. */
 import {performance} from 'node:perf_hooks';
 import {type IncomingMessage, type ServerResponse} from 'node:http';
 import {type Buffer} from 'node:buffer';
@@ -8,17 +8,17 @@
 import {type CallRecord} from './types.ts';
 import {selectRange} from './range.ts';
 
-/** What a run needs of its server. */
+/** The backend server that runs a call. */
 export type CallHost = {
-	/** Headers that every answer carries: the load report and the mark of leaving. */
+	/** Headers of every response: the load report and, while draining, the leaving header. */
 	answerHeaders(): Record<string, string>;
-	/** Milliseconds that `work` takes here and now. */
+	/** Time that work takes in the current mode and warm-up state. */
 	scaledWorkMilliseconds(workMilliseconds: number): number;
 	readonly defaultWorkMilliseconds: number;
 	readonly defaultAnswerBytes: number;
-	/** The call begins to run. */
+	/** Called when the call starts to run; returns its record. */
 	onStarted(run: CallRun): CallRecord;
-	/** The call has left its slot. */
+	/** Called when the call no longer needs its slot. */
 	onEnded(run: CallRun, record: CallRecord): void;
 };
 
@@ -28,7 +28,7 @@
 	return Number.isFinite(value) && value >= 0 ? value : undefined;
 }
 
-/** Holds a slot from `start` to its end. */
+/** Holds a slot from `start` until the response is sent, the connection closes or the deadline passes. */
 export class CallRun {
 	readonly callId: string;
 	readonly path: string;
@@ -42,13 +42,13 @@
 		this.callId = String(request.headers[callIdHeader] ?? '');
 	}
 
-	/** Milliseconds that the caller still waits; undefined = it did not say. */
+	/** Time until the call's deadline; undefined if the request has no time-out header. */
 	remainingMilliseconds(): number | undefined {
 		const timeout = parseNumberHeader(this.request, timeoutHeader);
 		return timeout === undefined ? undefined : timeout - (performance.now() - this._arrivedAt);
 	}
 
-	/** Has its slot: the work begins. */
+	/** Starts the work; the caller of this method has acquired the slot. */
 	start(body: Uint8Array): void {
 		this._record = this._host.onStarted(this);
 		this.response.once('close', () => {
@@ -80,7 +80,7 @@
 		this._host.onEnded(this, this._record);
 	}
 
-	/** Work that nobody waits for any more is stopped; it has run in part, so no word of "not run". */
+	/** Stops the work at the deadline. The call has run in part, so the response does not declare it as not run. */
 	private _timeOut(): void {
 		this.response.writeHead(504, {...this._host.answerHeaders(), 'content-length': 0});
 		this._end('timed-out');
@@ -105,7 +105,7 @@
 		this._write(body, range.start, range.end);
 	}
 
-	/** Writes as fast as the socket drains, so that a download of any length needs the memory of one block. */
+	/** Writes only as fast as the socket drains, so that a download of any length needs the memory of one block. */
 	private _write(body: AnswerBody, from: number, end: number): void {
 		let offset = from;
 		while (offset < end && !this.response.destroyed) {
--- a/src/stand-ins/backend-server/load-reporter.ts
+++ b/src/stand-ins/backend-server/load-reporter.ts
@@ -1,8 +1,8 @@
-/** What the backend server says of its load: late by a setting, false in some modes. */
+/** Load reports of the stand-in backend server, which may be delayed or show no load. */
 import {type Instant, type Milliseconds} from '../../common/model/units.ts';
 import {type LoadReport} from '../../common/calls/types.ts';
 
-/** Keeps the truths of the past for as long as the lag hides newer ones. */
+/** Keeps past load values for as long as the lag requires. */
 export class LoadReporter {
 	private _history: Array<{readonly at: Instant; readonly report: LoadReport}> = [];
 
@@ -12,7 +12,7 @@
 		this._readLoad = readLoad;
 	}
 
-	/** The report as it would be given at `now`. */
+	/** Returns the report to send at `now`: the load of the given lag ago, with zero calls if `hidesLoad`. */
 	report(now: Instant, lagMilliseconds: Milliseconds, hidesLoad: boolean): LoadReport {
 		const readLoad = this._readLoad();
 		const shown = lagMilliseconds === 0 ? readLoad : this._delayedReport(readLoad, now, lagMilliseconds);
@@ -27,7 +27,7 @@
 	}
 }
 
-/** The report as a header's value. */
+/** Formats a report as a header value. */
 export function formatLoadReport(report: LoadReport): string {
 	return `in-flight=${report.inFlight}, queued=${report.queued}, slots=${report.slots}, instance=${report.instance ?? ''}`;
 }
--- a/src/stand-ins/backend-server/main.ts
+++ b/src/stand-ins/backend-server/main.ts
@@ -1,4 +1,4 @@
-/** Process entry: `node --import=tsx src/stand-ins/backend-server/main.ts --port N`. */
+/** Entry point: `node --import=tsx src/stand-ins/backend-server/main.ts --port N`. */
 import process from 'node:process';
 import sade from 'sade';
 import {runAsProcess} from '../process-entry.ts';
@@ -18,14 +18,14 @@
 };
 
 sade('backend-server-stand-in', true)
-	.option('--port', 'Port to listen on; 0 = any', 0)
-	.option('--count', 'Backend servers in this process, each on a port of its own', 1)
-	.option('--address', 'IP number to listen on', defaults.address)
-	.option('--slots', 'Calls run at once', defaults.slots)
-	.option('--connections', 'Connections accepted', defaults.connectionLimit)
-	.option('--queue', 'Calls that may wait', defaults.queueLimit)
-	.option('--work', 'Milliseconds of work of a call', defaults.workMilliseconds)
-	.option('--bytes', 'Bytes of an answer', defaults.answerBytes)
+	.option('--port', 'Port to listen on; 0 selects a free port', 0)
+	.option('--count', 'Number of backend servers in this process, each on a port of its own', 1)
+	.option('--address', 'IP address to listen on', defaults.address)
+	.option('--slots', 'Calls that run at once', defaults.slots)
+	.option('--connections', 'Limit of open connections', defaults.connectionLimit)
+	.option('--queue', 'Calls that may wait for a slot', defaults.queueLimit)
+	.option('--work', 'Work of a call in milliseconds', defaults.workMilliseconds)
+	.option('--bytes', 'Length of a response body in bytes', defaults.answerBytes)
 	.option('--record', 'Record every call (--no-record for benchmarks)', true)
 	.action(async (options: Options) => {
 		await runAsProcess(new BackendServerGroup(options.count, {
--- a/src/stand-ins/backend-server/range.ts
+++ b/src/stand-ins/backend-server/range.ts
@@ -1,14 +1,14 @@
-/** Range requests (RFC 9110, 14): one range of bytes, guarded by If-Range with a strong validator. */
+/** Range requests (RFC 9110, section 14): a single byte range, with If-Range and a strong validator. */
 import {type IncomingHttpHeaders} from 'node:http';
 
-/** What to answer: the whole body (200), a part (206), or that no byte fits (416). */
+/** Response to a range request: the whole body (200), a part of it (206), or an unsatisfiable range (416). */
 export type SelectedRange = {readonly status: 200 | 206 | 416; readonly start: number; readonly end: number};
 
-/** Chooses the part of a body of `length` bytes; `end` is exclusive. */
+/** Selects the part of a body of `length` bytes to send; `end` is exclusive. */
 export function selectRange(headers: IncomingHttpHeaders, validator: string, length: number): SelectedRange {
 	const whole: SelectedRange = {status: 200, start: 0, end: length};
 	const match = /^bytes=(\d+)-(\d*)$/v.exec(headers.range ?? '');
-	// Another version than the one the caller holds a part of: it gets the whole of the new one.
+	// With an If-Range validator of another version, the caller gets the whole new body.
 	if (match === null || (headers['if-range'] !== undefined && headers['if-range'] !== validator)) {
 		return whole;
 	}
--- a/src/stand-ins/backend-server/slot-queue.ts
+++ b/src/stand-ins/backend-server/slot-queue.ts
@@ -1,6 +1,6 @@
-/** Slots with a bounded first-come queue, as a small server with a fixed number of workers has. */
+/** Slots with a bounded FIFO queue, as in a server with a fixed number of workers. */
 
-/** Takes a slot or waits for one; each taken slot is given back once. */
+/** Every acquired slot must be released exactly once. */
 export class SlotQueue {
 	readonly slots: number;
 	private readonly _queueLimit: number;
@@ -12,17 +12,17 @@
 		this._queueLimit = queueLimit;
 	}
 
-	/** Calls that hold a slot. */
+	/** Number of calls that hold a slot. */
 	get inUse(): number {
 		return this._inUse;
 	}
 
-	/** Calls that wait. */
+	/** Number of calls that wait for a slot. */
 	get queued(): number {
 		return this._waiting.size;
 	}
 
-	/** Runs `start` with a slot now or later; false = shed, never run. */
+	/** Acquires a slot and runs `start`, now or once a slot is free. Returns false if the queue is full; `start` then never runs. */
 	acquire(start: () => void): boolean {
 		if (this._inUse < this.slots) {
 			this._inUse++;
@@ -38,12 +38,12 @@
 		return true;
 	}
 
-	/** Leaves the queue; false if it had a slot already. */
+	/** Removes `start` from the queue. Returns false if it is not queued. */
 	cancel(start: () => void): boolean {
 		return this._waiting.delete(start);
 	}
 
-	/** Gives a slot back; the first that waits takes it. */
+	/** Releases a slot, and starts the first queued call with it. */
 	release(): void {
 		const [next] = this._waiting;
 		if (next === undefined) {
--- a/src/stand-ins/backend-server/types.ts
+++ b/src/stand-ins/backend-server/types.ts
@@ -1,57 +1,57 @@
 /** Settings, faults and records of the stand-in backend server. */
 import {z} from 'zod';
 
-/** How it behaves: see each mode at its field. */
+/** Modes of the backend server, which simulate faults. */
 export const backendServerModeSchema = z.enum([
-	/** Works as set. */
+	/** No fault. */
 	'normal',
-	/** Every work takes `slowFactor` times as long; the load report does not show it. */
+	/** All work takes `slowFactor` times as long; the load report does not show the slowdown. */
 	'slow',
-	/** Answers 500 at once, with a report that shows no load. */
+	/** Responds with status 500 at once, and reports no load. */
 	'fail-fast',
-	/** Connections open at the switch are never answered again; new ones work. */
+	/** Requests on connections that are open at the switch to this mode get no response; new connections work. */
 	'silent',
-	/** A call with the crash mark ends the process (or, within a test's process, cuts all sockets). */
+	/** A call with the crash header ends the process or destroys all sockets, by the setting `crash`. */
 	'crash-on-mark',
-	/** The report always shows no load. */
+	/** The load report always shows no load. */
 	'misleading',
 ]);
 export type BackendServerMode = z.infer<typeof backendServerModeSchema>;
 
-/** `POST /admin`; what is left out stays as it is. */
+/** Body of `POST /admin`. Absent fields stay unchanged. */
 export const backendServerUpdateSchema = z.strictObject({
 	mode: backendServerModeSchema.optional(),
 	slowFactor: z.number().min(1).optional(),
-	/** Begins to leave (or returns): answers are marked, `/health` says 503; calls are still run. */
+	/** Starts or ends a drain: responses carry the leaving header and `/health` has status 503, but calls are still run. */
 	isDraining: z.boolean().optional(),
-	/** `/health` and `/load` show a drain or load this much late; reports on answers too. */
+	/** Delay of load and drain in the reports of `/health`, `/load` and responses. */
 	reportLagMilliseconds: z.number().min(0).optional(),
 	workMilliseconds: z.number().min(0).optional(),
 });
 export type BackendServerUpdate = z.infer<typeof backendServerUpdateSchema>;
 
-/** What a backend server is made with. */
+/** Settings of a backend server. */
 export type BackendServerSettings = {
 	readonly address: string;
 	readonly port: number;
 	readonly slots: number;
 	readonly connectionLimit: number;
-	/** Calls that may wait for a slot; one more is shed. */
+	/** Calls that may wait for a slot; further ones are shed. */
 	readonly queueLimit: number;
-	/** Work of a call whose header names none. */
+	/** Work of a call without the work header. */
 	readonly workMilliseconds: number;
-	/** Bytes of an answer whose call names none. */
+	/** Length of the response body for a call without the bytes header. */
 	readonly answerBytes: number;
-	/** For so long after the start, work takes up to `coldFactor` times as long, falling to 1. */
+	/** Warm-up time after the start, in which work takes longer by a factor that falls linearly from `coldFactor` to 1. */
 	readonly coldMilliseconds: number;
 	readonly coldFactor: number;
-	/** Keep a record of every call for an oracle; off in benchmarks. */
+	/** Whether every call is recorded for the oracle; off in benchmarks. */
 	readonly recordsCalls: boolean;
-	/** What a crash does: ends the process, or cuts every socket. */
+	/** Effect of a crash: ends the process, or destroys all sockets. */
 	readonly crash: 'exit' | 'cut-sockets';
 };
 
-/** The brief's backend server: 6 slots, 250 connections. */
+/** The default has the 6 slots and 250 connections of the backend server in the brief. */
 export const defaultBackendServerSettings: BackendServerSettings = {
 	address: '127.0.0.1',
 	port: 0,
@@ -66,27 +66,27 @@
 	crash: 'cut-sockets',
 };
 
-/** One run of one call, as `GET /admin/calls` lists it. A call that was shed has no record. */
+/** One run of a call, as listed by `GET /admin/calls`. A call that was shed has no record. */
 export const callRecordSchema = z.object({
 	callId: z.string(),
 	method: z.string(),
 	path: z.string(),
-	/** On the backend server's own monotonic clock. */
+	/** Milliseconds on the backend server's monotonic clock. */
 	startedAt: z.number(),
-	/** It was started after the drain had begun by this many milliseconds. */
+	/** Time from the start of the drain to the start of the call; absent if the call started outside a drain. */
 	millisecondsIntoDrain: z.number().optional(),
 	state: z.enum(['running', 'finished', 'cancelled', 'timed-out']),
 });
 export type CallRecord = z.infer<typeof callRecordSchema>;
 
-/** Counts since the start, `GET /admin/counts`. */
+/** Counts since the start, as returned by `GET /admin/counts`. */
 export const backendServerCountsSchema = z.object({
 	started: z.number(),
 	finished: z.number(),
 	cancelled: z.number(),
 	timedOut: z.number(),
 	shed: z.number(),
-	/** Requests for `/load` and `/health`: measuring calls. */
+	/** Measuring calls: requests for `/load` and `/health`. */
 	measured: z.number(),
 	mostConnections: z.number(),
 });
--- a/src/stand-ins/caller/address-book.ts
+++ b/src/stand-ins/caller/address-book.ts
@@ -1,4 +1,4 @@
-/** Which VMs to use: asked of the system, kept for as long as the answer says. */
+/** Caches the VM addresses of each service for the time given in the address answer. */
 import {performance} from 'node:perf_hooks';
 import {type Dispatcher} from 'undici';
 import {type Instant, type RandomSource} from '../../common/model/units.ts';
@@ -6,12 +6,12 @@
 import {type AddressAnswer, addressAnswerSchema, type VmAddress} from './types.ts';
 
 const requestTimeoutMilliseconds = 1000;
-/** A VM that failed is passed over for this long, unless no other is left. */
+/** A VM whose connection failed is not chosen for this time, unless all VMs are avoided. */
 const avoidMilliseconds = 2000;
 
 type CachedAnswer = {readonly answer: AddressAnswer; readonly expiresAt: Instant};
 
-/** Asks any seed; an old answer serves on where nobody answers. */
+/** Requests addresses from the seeds in turn. If none responds, an expired answer stays in use. */
 export class AddressCache {
 	private readonly _cached = new Map<string, CachedAnswer>();
 	private readonly _pendingRequests = new Map<string, Promise<void>>();
@@ -28,12 +28,12 @@
 		this._random = random;
 	}
 
-	/** Answers got so far. */
+	/** Number of address answers received. */
 	get answerCount(): number {
 		return this._answerCount;
 	}
 
-	/** Chooses a VM by weight; undefined = nobody ever answered. */
+	/** Chooses a VM by weight; undefined if no seed has ever returned addresses for the service. */
 	async choose(service: string): Promise<VmAddress | undefined> {
 		const cached = this._cached.get(service);
 		if (cached === undefined || cached.expiresAt <= performance.now()) {
@@ -46,7 +46,7 @@
 		return this._chooseByWeight(usable.length > 0 ? usable : vms);
 	}
 
-	/** A connection to the VM failed: others go first for a while. */
+	/** Avoids a VM for some time after a failed connection. */
 	avoid(vm: VmAddress): void {
 		this._avoidedUntil.set(`${vm.address}:${vm.port}`, performance.now() + avoidMilliseconds);
 	}
@@ -64,7 +64,7 @@
 		return vms[0];
 	}
 
-	/** Calls that find the answer outdated at once share one question. */
+	/** Concurrent calls that find the answer expired share one request. */
 	private async _refreshOnce(service: string): Promise<void> {
 		const pending = this._pendingRequests.get(service);
 		if (pending !== undefined) {
--- a/src/stand-ins/caller/caller-load.ts
+++ b/src/stand-ins/caller/caller-load.ts
@@ -1,4 +1,4 @@
-/** An open loop of calls to one service: calls are due at fixed times, whether earlier ones have ended or not. */
+/** Open-loop load on one service: calls are sent at fixed times, whether or not earlier ones have ended. */
 import {Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
 import {build, type Histogram} from 'hdr-histogram-js';
@@ -6,15 +6,15 @@
 import {type Caller} from './caller.ts';
 import {type CallerReport, type CallResult, type OutgoingCall} from './types.ts';
 
-/** What the calls look like. */
+/** Rate and kind of the calls. */
 export type CallerLoadSettings = {
 	readonly name: string;
 	readonly service: string;
 	readonly callsPerSecond: number;
-	/** Share of the calls that are orders (POST with a body, never repeated blindly). */
+	/** Share of the calls that are orders: POST with a body, not idempotent. */
 	readonly orderShare: number;
 	readonly answerBytes: number;
-	/** Every so many calls one is a download of `downloadBytes`; 0 = none. */
+	/** One call in this many is a download of `downloadBytes`; 0 disables downloads. */
 	readonly downloadEvery: number;
 	readonly downloadBytes: number;
 	readonly workMilliseconds: number | undefined;
@@ -26,7 +26,7 @@
 const orderBody = Buffer.from(JSON.stringify({order: 'fibre pair', spans: [1, 2, 3], quantity: 1}));
 const maxFaults = 20;
 
-/** Latencies count from the moment a call was due, so that a stalled loop shows (coordinated omission). */
+/** Measures latency from the time at which a call was due, which avoids coordinated omission if the event loop stalls. */
 export class CallerLoad extends Disposable {
 	private readonly _histogram: Histogram = build({lowestDiscernibleValue: 1, highestTrackableValue: maxLatencyMicroseconds, numberOfSignificantValueDigits: 3});
 	private readonly _nonIdempotent: Array<Pick<CallResult, 'callId' | 'outcome'>> = [];
@@ -50,12 +50,12 @@
 		}));
 	}
 
-	/** No new calls; those in flight go on. */
+	/** Sends no further calls; those in flight continue. */
 	stop(): void {
 		clearInterval(this._timer);
 	}
 
-	/** Counts and latencies so far. */
+	/** Returns the counts and latencies so far. */
 	report(): CallerReport {
 		const percentile = (share: number): number => this._histogram.getValueAtPercentile(share) / 1000;
 		return {
@@ -72,7 +72,7 @@
 	}
 
 	private _sendDueCalls(): void {
-		// The first call is due at once: call k counts from k intervals after the start.
+		// Call k, from 0, is due k intervals after the start, so the first one is due at once.
 		const dueCount = Math.floor((performance.now() - this._startedAt) / 1000 * this._settings.callsPerSecond) + 1;
 		while (this._sentCount < dueCount) {
 			const dueAt = this._startedAt + (this._sentCount * 1000 / this._settings.callsPerSecond);
--- a/src/stand-ins/caller/caller-stand-in.ts
+++ b/src/stand-ins/caller/caller-stand-in.ts
@@ -1,4 +1,4 @@
-/** A caller with its load behind an admin endpoint: `GET /admin/report`, `POST /admin/stop`. */
+/** A caller that generates load, with the admin endpoints `GET /admin/report` and `POST /admin/stop`. */
 import {getRequestListener} from '@hono/node-server';
 import {Hono} from 'hono';
 import {type Result} from 'neverthrow';
@@ -8,7 +8,7 @@
 import {CallerLoad, type CallerLoadSettings} from './caller-load.ts';
 import {Caller, type CallerSettings} from './caller.ts';
 
-/** Can be started in a test's process, or as a process by `main.ts`. The load begins with `start`. */
+/** Runs within a test's process, or as a process of its own by `main.ts`. */
 export class CallerStandIn extends Disposable {
 	private readonly _caller: Caller;
 	private readonly _listener: HttpListener;
@@ -35,7 +35,7 @@
 		}));
 	}
 
-	/** Listens, then begins to call; the value is the port. */
+	/** Starts to listen, then starts the load. Resolves with the port of the admin endpoints. */
 	async start(): Promise<Result<number, ListenFailure>> {
 		const listening = await this._listener.listen();
 		if (listening.isOk()) {
--- a/src/stand-ins/caller/caller.ts
+++ b/src/stand-ins/caller/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller as the brief describes it: asks which addresses to use, connects there itself, checks
- * every byte, and never sends a non-idempotent call again unless it is known not to have run.
+ * A caller as in the brief: requests VM addresses, connects to the VMs directly, checks every byte of a response, and retries
+ * a non-idempotent call only if that call is known not to have run.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {Agent, type Dispatcher} from 'undici';
@@ -15,19 +15,19 @@
 import {AddressCache} from './address-book.ts';
 import {type CallResult, type OutgoingCall, type VmAddress} from './types.ts';
 
-/** What a caller is made with. */
+/** Settings of a caller. */
 export type CallerSettings = {
-	/** Its name, for fair sharing. */
+	/** Name of the caller, by which VMs share capacity fairly. */
 	readonly name: string;
-	/** `address:port` of some VMs, to ask for addresses. */
+	/** `address:port` of the VMs from which addresses are requested. */
 	readonly seeds: readonly string[];
-	/** Times that one call may be sent in all. */
+	/** Limit of tries for one call, the first one included. */
 	readonly maxTries: number;
-	/** Connections to each VM. */
+	/** Limit of connections to each VM. */
 	readonly connectionsPerVm: number;
 };
 
-/** One try: what came of sending the call once. */
+/** Result of sending a call once. */
 type Try = {
 	readonly outcome: CallOutcome | 'lost';
 	readonly status: number | undefined;
@@ -37,7 +37,7 @@
 	readonly detail: string | undefined;
 };
 
-/** Errors of undici that prove that no byte of the call has left. */
+/** Error codes of undici that show that no byte of the call was sent. */
 const notConnectedCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 const connectTimeoutMilliseconds = 1000;
 
@@ -49,7 +49,7 @@
 	return call.method !== 'POST';
 }
 
-/** undici without any interceptor: it sends nothing again by itself. */
+/** Uses undici without interceptors, so that undici does not retry calls itself. */
 export class Caller extends Disposable {
 	readonly addresses: AddressCache;
 	private readonly _agent: Agent;
@@ -69,7 +69,7 @@
 		this.addresses = new AddressCache(this._agent, _settings.seeds, random);
 	}
 
-	/** Makes the call, again where that is safe and worth it, and tells what became of it. */
+	/** Makes a call, and retries it within its deadline where that is safe. The result describes the last try. */
 	async call(call: OutgoingCall): Promise<CallResult> {
 		const deadline = performance.now() + call.timeoutMilliseconds;
 		let lastTry: Try | undefined;
@@ -105,7 +105,7 @@
 	private async _tryOnce(call: OutgoingCall, remainingMilliseconds: number): Promise<Try> {
 		const vm = await this.addresses.choose(call.service);
 		if (vm === undefined) {
-			return this._failedTry('not-run', 'no VM answers which addresses to use');
+			return this._failedTry('not-run', 'no VM returned addresses of the service');
 		}
 
 		try {
@@ -145,7 +145,7 @@
 		return this._readAnswer(call, response);
 	}
 
-	/** A body that ends early makes undici throw: a fragment is never taken for an answer. */
+	/** Checks the response body. undici throws if the body ends early, so a truncated body never counts as an answer. */
 	private async _readAnswer(call: OutgoingCall, response: Dispatcher.ResponseData): Promise<Try> {
 		const expected = new AnswerBody({
 			method: call.method, path: call.path, callId: call.callId, requestDigest: bodyDigest(call.body ?? new Uint8Array()),
--- a/src/stand-ins/caller/main.ts
+++ b/src/stand-ins/caller/main.ts
@@ -1,4 +1,4 @@
-/** Process entry: `node --import=tsx src/stand-ins/caller/main.ts --seeds 127.0.0.1:8080 --service NAME …`. */
+/** Entry point: `node --import=tsx src/stand-ins/caller/main.ts --seeds 127.0.0.1:8080 --service NAME …`. */
 import process from 'node:process';
 import sade from 'sade';
 import {runAsProcess} from '../process-entry.ts';
@@ -23,21 +23,21 @@
 };
 
 sade('caller-stand-in', true)
-	.option('--port', 'Port of the admin endpoint; 0 = any', 0)
-	.option('--address', 'IP number of the admin endpoint', '127.0.0.1')
-	.option('--seeds', 'VMs to ask for addresses: IP:PORT,IP:PORT', '127.0.0.1:8080')
+	.option('--port', 'Port of the admin endpoints; 0 selects a free port', 0)
+	.option('--address', 'IP address of the admin endpoints', '127.0.0.1')
+	.option('--seeds', 'VMs from which addresses are requested: IP:PORT,IP:PORT', '127.0.0.1:8080')
 	.option('--name', 'Name of the caller', 'caller')
 	.option('--service', 'Service to call', 'service')
-	.option('--rate', 'Calls a second', 100)
+	.option('--rate', 'Calls per second', 100)
 	.option('--orders', 'Share of calls that are orders (POST)', 0)
-	.option('--bytes', 'Bytes of an answer', 256)
-	.option('--download-every', 'Every so many calls one is a download; 0 = none', 0)
-	.option('--download-bytes', 'Bytes of a download', 1_000_000)
-	.option('--work', 'Milliseconds of work at the backend server; its own setting if not given')
-	.option('--timeout', 'Milliseconds that a call may take', 5000)
-	.option('--tries', 'Times that one call may be sent', 3)
-	.option('--connections', 'Connections to each VM', 64)
-	.option('--seed', 'Seed of the choice of VMs', 1)
+	.option('--bytes', 'Length of a response body in bytes', 256)
+	.option('--download-every', 'One call in this many is a download; 0 disables downloads', 0)
+	.option('--download-bytes', 'Length of a download in bytes', 1_000_000)
+	.option('--work', 'Work at the backend server in milliseconds (default: its own setting)')
+	.option('--timeout', 'Time-out of a call in milliseconds', 5000)
+	.option('--tries', 'Limit of tries for one call', 3)
+	.option('--connections', 'Limit of connections to each VM', 64)
+	.option('--seed', 'Random seed for the choice of VMs', 1)
 	.action(async (options: Options) => {
 		await runAsProcess(new CallerStandIn(
 			{
--- a/src/stand-ins/caller/types.ts
+++ b/src/stand-ins/caller/types.ts
@@ -1,7 +1,7 @@
-/** What a caller sends, gets and counts. */
+/** Calls, address answers and reports of the stand-in caller. */
 import {z} from 'zod';
 
-/** Answer to "which addresses": one VM with its share of the caller's calls. */
+/** Response to an address request: the VMs of a service, each with its weight in the caller's choice. */
 export const addressAnswerSchema = z.object({
 	vms: z.array(z.object({address: z.string(), port: z.int(), weight: z.number().min(0)})),
 	keepForMilliseconds: z.number().min(0),
@@ -9,59 +9,60 @@
 export type AddressAnswer = z.infer<typeof addressAnswerSchema>;
 export type VmAddress = AddressAnswer['vms'][number];
 
-/** A call to be made. */
+/** A call to make. */
 export type OutgoingCall = {
-	/** Names the call for the oracle. */
+	/** Identifies the call for the oracle. */
 	readonly callId: string;
 	readonly service: string;
 	readonly method: 'GET' | 'POST' | 'PUT';
-	/** Path on the backend server, from `/`. */
+	/** Path on the backend server, beginning with `/`. */
 	readonly path: string;
 	readonly body: Uint8Array | undefined;
-	/** Bytes of the answer's body. */
+	/** Length of the response body. */
 	readonly answerBytes: number;
-	/** Work at the backend server; undefined = as it is set. */
+	/** Work at the backend server; undefined for its own setting. */
 	readonly workMilliseconds: number | undefined;
 	readonly timeoutMilliseconds: number;
 	readonly headers?: Readonly<Record<string, string>>;
 };
 
-/** What became of a call, as its caller sees it. */
+/** Result of a call at its caller. */
 export const callResultSchema = z.object({
 	callId: z.string(),
 	method: z.string(),
-	/** `lost`: no final answer came, and it may not be sent again. */
+	/** `lost`: no complete response arrived, so it is unknown whether the call ran. */
 	outcome: z.enum(['ran', 'not-run', 'unknown', 'lost']),
-	/** Status of the last answer; undefined = none came. */
+	/** Status of the last response; absent if the last try got none. */
 	status: z.int().optional(),
-	/** A whole answer came, and every byte of it is right. */
+	/** A complete response with status 200 arrived, and every byte of it is correct. */
 	isRight: z.boolean(),
-	/** An answer that looked whole had wrong bytes. */
+	/** A response with status 200 looked complete, but had wrong bytes or a wrong length. */
 	isWrong: z.boolean(),
 	tries: z.int(),
-	/** Why the last try failed, for people. */
+	/** Why the last try failed, as text. */
 	detail: z.string().optional(),
 });
 export type CallResult = z.infer<typeof callResultSchema>;
 
-/** Counts and latencies of one service at one caller. */
+/** Counts and latencies of one caller's calls to one service. */
 export const callerReportSchema = z.object({
 	service: z.string(),
 	calls: z.int(),
-	/** Whole and right answers. */
+	/** Calls with a complete and correct response. */
 	right: z.int(),
-	/** Not run, with a final answer that says so. */
+	/** Calls that are known not to have run. */
 	refused: z.int(),
 	unknown: z.int(),
 	lost: z.int(),
 	wrong: z.int(),
 	inFlight: z.int(),
-	/** Latencies of right answers in milliseconds, from the moment at which the call was due. */
+	/** Latency percentiles of calls with a correct response, in milliseconds from the time at which the call was due. */
 	p50: z.number(),
 	p99: z.number(),
 	p999: z.number(),
-	/** Every non-idempotent call with its outcome, for the oracle; and what went wrong with others. */
+	/** Outcomes of all non-idempotent calls, for the oracle. */
 	nonIdempotent: z.array(callResultSchema.pick({callId: true, outcome: true})),
+	/** The first calls without a correct response. */
 	faults: z.array(callResultSchema),
 });
 export type CallerReport = z.infer<typeof callerReportSchema>;
--- a/src/stand-ins/child-program.ts
+++ b/src/stand-ins/child-program.ts
@@ -1,4 +1,4 @@
-/** A program of ours as a process of its own, ended by its process id. */
+/** Runs a program of this package as a child process, and stops it by its process id. */
 import {type ChildProcess, spawn} from 'node:child_process';
 import {once} from 'node:events';
 import process from 'node:process';
@@ -10,30 +10,30 @@
 import {Emitter} from '../common/lifecycle/emitter.ts';
 import {type ModuleFiles, ownFiles, packageRoot} from './program-files.ts';
 
-/** Why a program is not there. */
+/** Why a program could not be started. */
 export type ProgramFailure = Failure<'not-started'>;
 
-/** The ready line of the stand-ins. */
+/** The line that a stand-in prints once it listens. `ports` is present for a group of backend servers. */
 const readySchema = z.object({listening: z.int(), ports: z.array(z.int()).optional()});
 export type ReadyLine = z.infer<typeof readySchema>;
 
 const maxErrorLines = 20;
 const startTimeoutMilliseconds = 30_000;
 
-/** What to run. */
+/** The program to run and its options. */
 export type ProgramSettings = {
-	/** Path without ending, such as `src/stand-ins/platform/main`. */
+	/** Path without file extension, such as `src/stand-ins/platform/main`. */
 	readonly program: string;
 	readonly parameters: readonly string[];
-	/** Modules of ours that are loaded first, by path. */
+	/** Paths of modules of this package that are loaded before the program. */
 	readonly preloads?: readonly string[];
-	/** Sources or built files; as this process runs, if not given. */
+	/** Runs the sources or the built files; by default the same as the current process. */
 	readonly files?: ModuleFiles;
-	/** Options for node itself, such as `--cpu-prof`. */
+	/** Options for Node, such as `--cpu-prof`. */
 	readonly nodeOptions?: readonly string[];
 };
 
-/** Started at construction; a disposal kills it if it still runs. */
+/** The process starts at construction. Disposal kills it if it still runs. */
 export class ChildProgram extends Disposable {
 	private readonly _child: ChildProcess;
 	private readonly _errorLines: string[] = [];
@@ -41,14 +41,14 @@
 	private readonly _ready: Promise<Result<ReadyLine, ProgramFailure>>;
 	private readonly _exit: Promise<number | undefined>;
 
-	/** A line on its stream for errors. */
+	/** Fires for each line that the program writes to standard error. */
 	readonly onErrorLine = this._onErrorLine.event;
 
 	constructor(settings: ProgramSettings) {
 		super();
 		const {loader, file} = settings.files ?? ownFiles;
 		const preloaded = (settings.preloads ?? []).map(module => `--import=${file(module)}`);
-		// The loader of TypeScript comes first: what an option imports may be TypeScript too.
+		// The TypeScript loader comes first, because a module that another option imports may be TypeScript.
 		this._child = spawn(process.execPath, [...loader, ...preloaded, ...(settings.nodeOptions ?? []), file(settings.program), ...settings.parameters], {
 			cwd: packageRoot,
 			stdio: ['ignore', 'pipe', 'pipe'],
@@ -61,32 +61,32 @@
 		this._collectErrorLines();
 	}
 
-	/** Process id. */
+	/** Process id; 0 if the process could not be spawned. */
 	get pid(): number {
 		return this._child.pid ?? 0;
 	}
 
-	/** Exit code so far; undefined while it runs. */
+	/** Exit code; undefined while the process runs or if a signal ended it. */
 	get exitCode(): number | undefined {
 		return this._child.exitCode ?? undefined;
 	}
 
-	/** True until it has ended, by itself or by a signal. */
+	/** True until the process has exited or a signal has ended it. */
 	get isRunning(): boolean {
 		return this._child.exitCode === null && this._child.signalCode === null;
 	}
 
-	/** The latest lines that it wrote for people. */
+	/** The last lines that the program wrote to standard error. */
 	get lastErrors(): string {
 		return this._errorLines.join('\n');
 	}
 
-	/** Resolves with the ready line of a stand-in. */
+	/** Resolves with the ready line, or with a failure if the program exits or prints none in time. */
 	async ready(): Promise<Result<ReadyLine, ProgramFailure>> {
 		return this._ready;
 	}
 
-	/** Asks it to end and waits, at most for the time given; then it is killed. Undefined = killed. */
+	/** Sends SIGTERM, and SIGKILL after the time-out. Resolves with the exit code; undefined if a signal ended the process. */
 	async stop(timeoutMilliseconds: number): Promise<number | undefined> {
 		this._child.kill('SIGTERM');
 		const timer = setTimeout(() => {
@@ -97,12 +97,12 @@
 		return code;
 	}
 
-	/** Sends it a signal. */
+	/** Sends the process a signal. */
 	signal(name: NodeJS.Signals): void {
 		this._child.kill(name);
 	}
 
-	/** Kills it at once, as a crash of its VM would. */
+	/** Kills the process at once, as a crash of its VM would. */
 	kill(): void {
 		this._child.kill('SIGKILL');
 	}
@@ -121,9 +121,9 @@
 				resolve(err(failure('not-started', `${program}: ${reason}: ${this.lastErrors}`)));
 			};
 
-			const timer = setTimeout(fail, startTimeoutMilliseconds, 'no ready line in time');
+			const timer = setTimeout(fail, startTimeoutMilliseconds, 'no ready line within the time limit');
 			this._child.once('exit', code => {
-				fail(`ended with ${String(code)}`);
+				fail(`exited with code ${String(code)}`);
 			});
 			createInterface({input: this._child.stdout!}).on('line', line => {
 				const ready = line.startsWith('{"listening"') ? readySchema.safeParse(JSON.parse(line)) : undefined;
--- a/src/stand-ins/free-ports.ts
+++ b/src/stand-ins/free-ports.ts
@@ -1,11 +1,11 @@
-/** Ports for programs that need to know their neighbours' before anybody listens. */
+/** Finds free ports for programs whose settings contain each other's ports before any of them listens. */
 import {randomInt} from 'node:crypto';
 import {createServer, type Server} from 'node:net';
 
 /**
- * Below the range from which systems give ports to outgoing connections and to listeners that take any
- * (32768 upwards on Linux): a port of that range, free a moment ago, is taken by somebody else's next
- * connection on a busy machine, and the daemon that was to have it cannot listen.
+ * These ports lie below the ephemeral range (from 32768 on Linux), from which the system assigns ports to outgoing connections
+ * and to listeners on port 0. On a busy machine, another connection may take a free port of that range before the daemon
+ * listens on it.
  */
 const minPort = 20_000;
 const maxPort = 32_000;
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Ports that were free a moment ago. All are held at once, so that none is given twice. */
+/** Returns ports that were free during the call. Listens on all of them at once, so that no port is returned twice. */
 export async function freePorts(count: number): Promise<number[]> {
 	const listeners = await Promise.all(Array.from({length: count}, async () => listenOnRandomPort()));
 	await Promise.all(listeners.map(async ({server}) => new Promise(resolve => {
--- a/src/stand-ins/garbage-collection-observer.ts
+++ b/src/stand-ins/garbage-collection-observer.ts
@@ -1,4 +1,4 @@
-/** Loaded into a measured process: on SIGUSR2 tells its garbage collection pauses since the last time. */
+/** Preloaded into a measured process. On SIGUSR2 writes the garbage collection pauses since the last report to standard error. */
 import {PerformanceObserver} from 'node:perf_hooks';
 import process from 'node:process';
 
--- a/src/stand-ins/headers.ts
+++ b/src/stand-ins/headers.ts
@@ -1,13 +1,13 @@
-/** Headers by which a test or benchmark tells a stand-in backend server what one call shall be. */
+/** Request headers by which a test or benchmark controls how the stand-in backend server runs a call. */
 
-/** Names the call for the oracle; the same on every repetition of it. */
+/** Identifies the call for the oracle. Each retry of a call carries the same id. */
 export const callIdHeader = 'stand-in-call-id';
 
-/** Milliseconds of work; without it the backend server's own setting counts. */
+/** Work in milliseconds; defaults to the backend server's setting. */
 export const workHeader = 'stand-in-work-milliseconds';
 
-/** Bytes of the answer's body. */
+/** Length of the response body in bytes. */
 export const bytesHeader = 'stand-in-bytes';
 
-/** `true` marks a call that crashes a backend server in the mode `crash-on-mark`. */
+/** `true` makes the call crash a backend server in the mode `crash-on-mark`. */
 export const crashHeader = 'stand-in-crash';
--- a/src/stand-ins/http-listener.ts
+++ b/src/stand-ins/http-listener.ts
@@ -1,24 +1,24 @@
-/** A node:http server of a stand-in: its port, its sockets and their end in one place. */
+/** A node:http server for stand-ins that keeps track of its open sockets. */
 import {type Socket} from 'node:net';
 import {createServer, type RequestListener, type Server} from 'node:http';
 import {err, ok, type Result} from 'neverthrow';
 import {failure, type Failure} from '../common/errors/failure.ts';
 import {Disposable, toDisposable} from '../common/lifecycle/disposable.ts';
 
-/** Why a stand-in could not start. */
+/** Why a stand-in could not listen. */
 export type ListenFailure = Failure<'not-listening'>;
 
-/** What a listener needs to know. */
+/** Settings of a listener. */
 export type HttpListenerSettings = {
-	/** IP number to listen on. */
+	/** IP address to listen on. */
 	readonly address: string;
-	/** 0 = any free port. */
+	/** 0 selects a free port. */
 	readonly port: number;
-	/** Connections beyond this are closed as soon as they are accepted; undefined = no limit. */
+	/** Further connections are closed as soon as they are accepted; no limit if undefined. */
 	readonly connectionLimit?: number;
 };
 
-/** Listens and keeps track of every open socket, so that a crash or a silence can be played on all. */
+/** Keeps every open socket, so that a stand-in can simulate a crash or silence on all of them. */
 export class HttpListener extends Disposable {
 	private readonly _server: Server;
 	private readonly _sockets = new Set<Socket>();
@@ -42,24 +42,24 @@
 		}));
 	}
 
-	/** Open connections. */
+	/** Number of open connections. */
 	get connections(): number {
 		return this._sockets.size;
 	}
 
-	/** The sockets open now. */
+	/** The currently open sockets. */
 	openSockets(): readonly Socket[] {
 		return [...this._sockets];
 	}
 
-	/** Cuts every open connection without a word. */
+	/** Destroys all open sockets without sending a response. */
 	destroySockets(): void {
 		for (const socket of this._sockets) {
 			socket.destroy();
 		}
 	}
 
-	/** Starts to listen; the value is the port. */
+	/** Starts to listen, and resolves with the port. */
 	async listen(): Promise<Result<number, ListenFailure>> {
 		return new Promise(resolve => {
 			this._server.once('error', error => {
--- a/src/stand-ins/platform/key-value-store.ts
+++ b/src/stand-ins/platform/key-value-store.ts
@@ -1,17 +1,17 @@
-/** The key-value service's state: revisions, compare-and-swap, leases, tombstones for watches. */
+/** State of the key-value service: revisions, compare-and-swap, leases, and tombstones for watches. */
 import {type Instant, type Milliseconds} from '../../common/model/units.ts';
 import {
 	type Revision, type StoreEntry, type StoreOperation, type StoreReply,
 } from '../../common/platform/types.ts';
 
-/** Values beyond this are refused by the platform. */
+/** The platform rejects longer values. */
 export const maxValueBytes = 1_048_576;
 
 type Lease = {readonly milliseconds: Milliseconds; expiresAt: Instant; readonly keys: Set<string>};
 
 type ImmediateOperation = Exclude<StoreOperation, {type: 'watch'}>;
 
-/** No clock of its own: `now` is passed in. Leases lapse whenever it is told the time. */
+/** Has no clock: callers pass the current time. Leases expire in `handle` and `expireLeases`. */
 export class KeyValueStore {
 	private _entries = new Map<string, StoreEntry>();
 	private _deleted = new Map<string, Revision>();
@@ -24,7 +24,7 @@
 		return this._revision;
 	}
 
-	/** A copy that no later write changes: what a lagging replica still knows. */
+	/** Returns an independent copy, which serves as a stale replica. */
 	copy(): KeyValueStore {
 		const copied = new KeyValueStore();
 		copied._entries = new Map(this._entries);
@@ -33,7 +33,7 @@
 		return copied;
 	}
 
-	/** Carries out everything but a watch. A value that is too long answers `undefined`. */
+	/** Executes an operation other than a watch. Returns undefined if the value is too long. */
 	handle(operation: ImmediateOperation, now: Instant): StoreReply | undefined {
 		this.expireLeases(now);
 		switch (operation.type) {
@@ -53,7 +53,7 @@
 				return this._delete(operation);
 			}
 
-			// Only a fleet that the platform's store leads writes several keys at once; its store has a stand-in of its own.
+			// Only a fleet led by the platform's store writes several keys at once, and that store has a stand-in of its own.
 			case 'write-all': {
 				return {type: 'unavailable'};
 			}
@@ -74,7 +74,7 @@
 		}
 	}
 
-	/** What changed under the prefix after the revision; undefined = nothing yet. */
+	/** Returns the changes under the prefix after the revision; undefined if there are none. */
 	changes(prefix: string, after: Revision): Extract<StoreReply, {type: 'changes'}> | undefined {
 		const entries = this._entriesWithPrefix(prefix, after);
 		const deleted = [...this._deleted].filter(([key, revision]) => revision > after && key.startsWith(prefix)).map(([key]) => key);
@@ -85,7 +85,7 @@
 			};
 	}
 
-	/** Removes the keys of leases that have lapsed; true if a key went. */
+	/** Removes expired leases and their keys. Returns whether a key was removed. */
 	expireLeases(now: Instant): boolean {
 		const before = this._revision;
 		for (const [leaseId, lease] of this._leases) {
@@ -119,7 +119,7 @@
 			return {type: 'lease-lost'};
 		}
 
-		// A write without the lease takes the key out of it, or the old lease's end would remove a new value.
+		// Detaches the key from any earlier lease, whose end would otherwise remove the new value.
 		for (const other of this._leases.values()) {
 			other.keys.delete(key);
 		}
--- a/src/stand-ins/platform/platform-stand-in.ts
+++ b/src/stand-ins/platform/platform-stand-in.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform: key-value service and VM list over HTTP, with faults on order. */
+/** Stand-in for the platform: key-value service and VM list over HTTP, with injectable faults. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {performance} from 'node:perf_hooks';
 import {getRequestListener, type HttpBindings} from '@hono/node-server';
@@ -27,7 +27,7 @@
 	return operation.type === 'get' || operation.type === 'list' || operation.type === 'watch';
 }
 
-/** Can be started in a test's process, or as a process by `main.ts`. */
+/** Runs within a test's process, or as a process of its own by `main.ts`. */
 export class PlatformStandIn extends Disposable {
 	private readonly _keyValues = new KeyValueStore();
 	private readonly _vms = new VmList();
@@ -52,7 +52,7 @@
 		}));
 	}
 
-	/** Starts to listen; the value is the port. */
+	/** Starts to listen, and resolves with the port. */
 	async start(): Promise<Result<number, ListenFailure>> {
 		const timer = setInterval(() => {
 			if (this._keyValues.expireLeases(performance.now())) {
@@ -65,12 +65,12 @@
 		return this._listener.listen();
 	}
 
-	/** Calls by type since the start. */
+	/** Requests by type since construction. */
 	counts(): Readonly<PlatformCounts> {
 		return {...this._counts};
 	}
 
-	/** Changes the faults; what is left out stays. */
+	/** Changes the given faults; absent ones stay unchanged. */
 	setFaults(faults: PlatformFaults): void {
 		if (faults.stale !== undefined && faults.stale !== this._faults.stale) {
 			this._staleCopy = faults.stale ? this._keyValues.copy() : undefined;
@@ -79,12 +79,12 @@
 		this._faults = {...this._faults, ...faults};
 	}
 
-	/** Tells the true list of VMs; it shows after the lag. */
+	/** Sets the current list of VMs, which is served after the lag. */
 	setVms(vms: readonly ListedVm[]): void {
 		this._vms.set(vms, performance.now());
 	}
 
-	/** Sets how late changes of the VM list show. */
+	/** Sets the delay after which changes of the VM list are served. */
 	setVmLag(milliseconds: number): void {
 		this._vms.setLag(milliseconds);
 	}
@@ -119,7 +119,7 @@
 		return routes;
 	}
 
-	/** Plays the present mode; true = the call goes on. */
+	/** Applies the current fault mode. Returns false if the connection was cut. */
 	private async _applyFaults(context: PlatformContext): Promise<boolean> {
 		if (this._faults.mode === 'slow') {
 			await delay(this._faults.delayMilliseconds, undefined, {signal: this._disposeController.signal}).catch(() => undefined);
@@ -164,7 +164,7 @@
 
 		const reply = operation.type === 'watch' ? await this._watch(operation) : this._handle(operation);
 		if (reply === undefined) {
-			return context.json({message: 'value: longer than a megabyte'}, 413);
+			return context.json({message: 'value: longer than 1 MiB'}, 413);
 		}
 
 		if (this._consumeLostAnswer(operation, reply)) {
--- a/src/stand-ins/platform/types.ts
+++ b/src/stand-ins/platform/types.ts
@@ -1,7 +1,7 @@
-/** Faults, requests and counts of the platform's stand-in, as its HTTP interface takes and gives them. */
+/** Faults, requests and counts in the HTTP interface of the platform's stand-in. */
 import {z} from 'zod';
 
-/** The JSON of a `StoreOperation` (src/common/platform/types.ts). */
+/** A `StoreOperation` (src/common/platform/types.ts) as JSON, without `write-all`. */
 export const storeOperationSchema = z.discriminatedUnion('type', [
 	z.object({type: z.literal('get'), key: z.string()}),
 	z.object({type: z.literal('list'), prefix: z.string()}),
@@ -17,25 +17,25 @@
 	}),
 ]);
 
-/** `POST /admin/faults`; what is left out stays as it is. */
+/** Body of `POST /admin/faults`. Absent fields stay unchanged. */
 export const platformFaultsSchema = z.strictObject({
-	/** `down` cuts every call's connection with no effect, `refusing` answers `unavailable`, `slow` delays. */
+	/** `down` closes the connection of every request without executing it; `refusing` responds with `unavailable`; `slow` delays. */
 	mode: z.enum(['up', 'down', 'refusing', 'slow']).optional(),
-	/** Delay of every call in the mode `slow`. */
+	/** Delay of every request in the mode `slow`. */
 	delayMilliseconds: z.number().min(0).optional(),
-	/** The next writes that take effect while their connection is cut without an answer. */
+	/** Number of further successful writes whose connection is closed without a response. */
 	loseAnswers: z.int().min(0).optional(),
-	/** Reads answer from the copy that was taken when this was switched on. */
+	/** Serves reads from a copy that is made when this is switched on. */
 	stale: z.boolean().optional(),
 });
 export type PlatformFaults = z.infer<typeof platformFaultsSchema>;
 
-/** `POST /admin/vms`: the true list, and by how much the served one lags behind it. */
+/** Body of `POST /admin/vms`: the current list, and the lag of the served list (0 if absent). */
 export const platformVmsSchema = z.strictObject({
 	vms: z.array(z.object({address: z.string(), dataCentre: z.string(), state: z.enum(['live', 'leaving'])})).optional(),
 	lagMilliseconds: z.number().min(0).optional(),
 });
 export type PlatformVms = z.infer<typeof platformVmsSchema>;
 
-/** Calls by type; a waiting watch counts as one, the VM list as `vms`. */
+/** Requests by type of operation; requests of the VM list count as `vms`. */
 export type PlatformCounts = Record<string, number>;
--- a/src/stand-ins/process-entry.ts
+++ b/src/stand-ins/process-entry.ts
@@ -1,4 +1,4 @@
-/** What the small process entries of the stand-ins share: the ready line and the end on a signal. */
+/** Shared by the stand-ins' entry points: prints the ready line, and stops on a signal. */
 import process from 'node:process';
 import {type Result} from 'neverthrow';
 import {describeFailure} from '../common/errors/failure.ts';
@@ -8,11 +8,11 @@
 /** A stand-in that can be run as a process. */
 export type RunnableStandIn = DisposableLike & {
 	start(): Promise<Result<number, ListenFailure>>;
-	/** All its ports, where it has several. */
+	/** All ports of a stand-in with several ones. */
 	readonly ports?: readonly number[];
 };
 
-/** Starts the stand-in, prints `{"listening": port}` (with `ports` of a group) when it is ready, and ends it on SIGTERM or SIGINT. */
+/** Starts the stand-in, prints `{"listening": port}` (with `ports` for a group) once it listens, and disposes of it on SIGTERM or SIGINT. */
 export async function runAsProcess(standIn: RunnableStandIn): Promise<void> {
 	const started = await standIn.start();
 	started.match(
@@ -24,7 +24,7 @@
 			process.exitCode = 1;
 		},
 	);
-	// With its sockets and timers gone nothing keeps the process alive.
+	// Without the stand-in's sockets and timers, nothing keeps the process alive.
 	const stop = (): void => {
 		standIn.dispose();
 	};
--- a/src/stand-ins/program-files.ts
+++ b/src/stand-ins/program-files.ts
@@ -1,4 +1,4 @@
-/** Finds files of the package and its programs, whether run from the sources by tsx or from `dist`. */
+/** Locates the package's files and programs, both when run from the sources by tsx and when run from `dist`. */
 import {existsSync} from 'node:fs';
 import {dirname, join} from 'node:path';
 import {fileURLToPath} from 'node:url';
@@ -14,27 +14,27 @@
 	return folder;
 }
 
-/** Folder of `package.json`. */
+/** Folder that contains `package.json`. */
 export const packageRoot = findRoot();
 
-/** Arguments for node to load modules of ours by path, such as `src/stand-ins/platform/main`. */
+/** How Node loads modules of this package by path, such as `src/stand-ins/platform/main`. */
 export type ModuleFiles = {
-	/** What node needs before it can load them. */
+	/** Node options that are needed to load the modules. */
 	readonly loader: readonly string[];
 	readonly file: (path: string) => string;
 };
 
-/** By the sources, through tsx. */
+/** Loads the sources through tsx. */
 export const sourceFiles: ModuleFiles = {
 	loader: ['--import=tsx'],
 	file: path => join(packageRoot, `${path}.ts`),
 };
 
-/** As built into `dist`: what runs in service, with less memory. */
+/** Loads the files built into `dist`, as in production; needs less memory than tsx. */
 export const builtFiles: ModuleFiles = {
 	loader: [],
 	file: path => join(packageRoot, 'dist', `${path}.js`),
 };
 
-/** In the way in which this very module runs. */
+/** Loads modules in the same way as this module was loaded. */
 export const ownFiles: ModuleFiles = isSource ? sourceFiles : builtFiles;
--- a/src/stand-ins/stand-in-client.ts
+++ b/src/stand-ins/stand-in-client.ts
@@ -1,4 +1,4 @@
-/** Requests to the stand-ins' admin endpoints. */
+/** Client of the stand-ins' admin endpoints. */
 import {request} from 'undici';
 import {z} from 'zod';
 import {
@@ -17,7 +17,7 @@
 	return answer.body.json();
 }
 
-/** One function for each admin endpoint. */
+/** One function per admin endpoint; each takes the port of a stand-in on this machine. */
 export const standInClient = {
 	setVms: async (port: number, content: PlatformVms): Promise<unknown> => sendRequest(port, '/admin/vms', content),
 	setFaults: async (port: number, faults: PlatformFaults): Promise<unknown> => sendRequest(port, '/admin/faults', faults),
--- a/src/stand-ins/stand-ins.test.ts
+++ b/src/stand-ins/stand-ins.test.ts
@@ -48,7 +48,7 @@
 	}
 
 	describe('platform', () => {
-		it('writes by compare-and-swap, wakes watches, counts calls, forgets the keys of a lapsed lease', async function () {
+		it('writes by compare-and-swap, notifies watches, counts requests, removes the keys of an expired lease', async function () {
 			const {platform, send} = await startPlatform();
 			const waiting = send({
 				type: 'watch', prefix: 'a/', after: 0, milliseconds: 5000,
@@ -75,9 +75,9 @@
 			expect(log).toMatchSnapshot(this);
 		});
 
-		// A user sees a change refused that is in force: the write takes effect, the connection is cut
-		// before the answer, and the writer that takes the cut for "nothing happened" is wrong.
-		it('loses the answer of a write that took effect, answers from an old copy, goes down', async function () {
+		// Simulates a write that takes effect although its connection breaks before the response. A writer that treats the
+		// broken connection as a failed write would report a change as rejected that is in force.
+		it('loses the response of a successful write, serves reads from a stale copy, cuts connections when down', async function () {
 			const {platform, send} = await startPlatform();
 			platform.setFaults({loseAnswers: 1});
 			const log = [
@@ -104,7 +104,7 @@
 			expect(log.map(entry => typeof entry === 'object' && entry !== null && 'message' in entry ? 'refused' : entry)).toMatchSnapshot(this);
 		});
 
-		it('shows a change of the VM list only after the lag', async () => {
+		it('serves a change of the VM list only after the lag', async () => {
 			const platform = store.add(new PlatformStandIn());
 			const started = await platform.start();
 			const port = started._unsafeUnwrap();
@@ -126,7 +126,7 @@
 	describe('backend server', () => {
 		const headers = (callId: string, work: number, bytes = 20): Record<string, string> => ({[callIdHeader]: callId, [workHeader]: String(work), [bytesHeader]: String(bytes)});
 
-		it('sheds when slots and queue are full, and its record shows that shed calls never ran', async () => {
+		it('sheds calls when slots and queue are full, and counts no start of a shed call', async () => {
 			const {server, origin} = await startBackendServer({slots: 1, queueLimit: 1});
 			const answers = await Promise.all(['a', 'b', 'c'].map(async callId => {
 				const answer = await request(`${origin}/x`, {headers: headers(callId, 30)});
@@ -137,7 +137,7 @@
 			expect(server.counts()).toLooseEqual({...server.counts(), started: 2, shed: 1});
 		});
 
-		it('stops the work of a caller that has gone or whose time is up', async () => {
+		it('stops the work when the caller disconnects or the deadline passes', async () => {
 			const {server, origin} = await startBackendServer();
 			const control = new AbortController();
 			const gone = request(`${origin}/x`, {headers: headers('gone', 10_000), signal: control.signal}).catch(() => 'aborted');
@@ -157,7 +157,7 @@
 			expect(server.calls().map(call => [call.callId, call.state])).toEqual([['gone', 'cancelled'], ['late', 'timed-out']]);
 		});
 
-		it('answers a range of the same version only, and marks answers while it drains', async () => {
+		it('serves a range only of the same version, and sends the leaving header while it drains', async () => {
 			const {server, origin} = await startBackendServer();
 			const length = blockBytes + 100;
 			const whole = await request(`${origin}/film`, {headers: headers('r', 0, length)});
@@ -177,8 +177,8 @@
 			expect(health.statusCode).toEqual(503);
 		});
 
-		// A caller waits for ever on a connection that the path has forgotten, while new ones work.
-		it('falls silent on open connections, and cuts all of them when a marked call crashes it', async () => {
+		// Simulates a network path that drops the state of open connections: callers get no response there, but new connections work.
+		it('does not respond on open connections when silent, and cuts all connections on a crash', async () => {
 			const {server, origin} = await startBackendServer();
 			const held = new Agent({connections: 1});
 			store.add(toDisposable(() => {
@@ -199,7 +199,7 @@
 	});
 
 	describe('answer bodies', () => {
-		it('tells a swapped, shortened or foreign block', () => {
+		it('detects a swapped, shortened or foreign block', () => {
 			const origin = {
 				method: 'GET', path: '/a', callId: '1', requestDigest: '',
 			};
@@ -220,7 +220,7 @@
 			callId, service: 's', method: 'POST', path: '/orders', body: Buffer.from('order'), answerBytes: 8, workMilliseconds: 0, timeoutMilliseconds: 2000,
 		});
 
-		/** A VM that answers for addresses, and to calls as told; counts how often each call came. */
+		/** Starts a VM that returns its own address and responds to calls as given; counts the calls received. */
 		async function startVm(answerCall: (count: number) => {status: number; outcome: string} | 'cut'): Promise<{caller: Caller; count: () => number}> {
 			let calls = 0;
 			let port = 0;
@@ -249,8 +249,8 @@
 			return {caller, count: () => calls};
 		}
 
-		// A customer is billed twice: the first answer is lost on the way, and the caller sends again.
-		it('sends a non-idempotent call again only after "not run"', async () => {
+		// Guards against an order that runs twice because its caller retries after a lost response.
+		it('retries a non-idempotent call only after the outcome "not-run"', async () => {
 			const cut = await startVm(() => 'cut');
 			const first = await cut.caller.call(makeOrder('1'));
 			expect(first.outcome).toEqual('lost');
--- a/src/stand-ins/text-table.ts
+++ b/src/stand-ins/text-table.ts
@@ -1,6 +1,6 @@
-/** Plain tables for terminals: the first column to the left, numbers to the right. */
+/** Formats plain-text tables for a terminal. */
 
-/** Lays out a header and rows; all rows have as many cells as the header. */
+/** Aligns a header and rows: the first column left, all others right. Each row must have as many cells as the header. */
 export function textTable(header: readonly string[], rows: ReadonlyArray<readonly string[]>): string {
 	const widths = header.map((title, column) => Math.max(title.length, ...rows.map(row => row[column]?.length ?? 0)));
 	const line = (cells: readonly string[]): string => cells
