--- a/scripts/capacity-page.ts
+++ b/scripts/capacity-page.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the figures of docs/CAPACITY.md from the stored results, between its markers:
- * `node --import=tsx scripts/capacity-page.ts`. A test checks that the page holds what this makes.
+ * Generates the tables of docs/CAPACITY.md from the stored benchmark results, between the page's markers:
+ * `node --import=tsx scripts/capacity-page.ts`. A test checks that the page contains the generated tables.
  */
 import {readFileSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
@@ -15,7 +15,7 @@
 	maxLoadShare, Projection, minSubsetSize, loadReadsPerSecond, type StoredResults,
 } from './capacity-projection.ts';
 
-/** Limits of the target for control on one VM, and for what a call is added. */
+/** Limits of the target: cost of control on one VM, time until a change is in force, and time added to a call. */
 const limits = {
 	coreShare: 0.012, bytes: 128e6, bytesPerSecond: 13_000, changeMilliseconds: 5000, addedMilliseconds: 1.9,
 };
@@ -103,7 +103,7 @@
 	]);
 }
 
-/** A cost that depends on how many backend servers a VM knows, for both cases. */
+/** Row of a cost that depends on the number of backend servers that a VM stores: all of them, or those of the services it carries. */
 function costRow(projection: Projection, role: string, line: string, cost: (backendServers: number) => string): string[] {
 	return [role, line, cost(target.backendServers), cost(projection.carriedBackendServers)];
 }
@@ -254,7 +254,7 @@
 	return `${states}\n\n${changes}\n\n${perChange} ${perDay}`;
 }
 
-/** What real daemons on one machine did. */
+/** Results of daemons that run as processes on one machine. */
 function control(projection: Projection): string {
 	const {vms, resources} = projection.results.control;
 	const byVms = table(
@@ -291,7 +291,7 @@
 	size, path, 'path-memory': pathMemory, roles, limits: limitsTable, platform, dissemination, control,
 };
 
-/** The page with its figures made anew. */
+/** Returns the page with its tables generated from the results. A section with an unknown name stays unchanged. */
 export function renderPage(page: string, results: StoredResults): string {
 	const projection = new Projection(results);
 	return page.replaceAll(/<!-- figures:(?<name>[a-z\-]+) -->\n.*?<!-- end -->/gsv, (found, name: string) => {
@@ -300,7 +300,7 @@
 	});
 }
 
-/** The page as it lies in the repository, and as the stored results make it. */
+/** Returns the page in the repository, and the page as generated from the stored results. */
 export function checkPage(): {readonly present: string; readonly expected: string; readonly results: StoredResults} {
 	const present = readFileSync(join(packageRoot, 'docs', 'CAPACITY.md'), 'utf8');
 	const results = readResults();
--- a/scripts/capacity-projection.ts
+++ b/scripts/capacity-projection.ts
@@ -1,38 +1,38 @@
-/** Lays the measured slopes on the sizes of the target. */
+/** Extrapolates the measured linear costs to the sizes of the target. */
 import {type ControlResults} from '../benchmark/control/types.ts';
 import {daySeconds, target} from '../benchmark/capacity/sizes.ts';
 import {type CapacityResults} from '../benchmark/capacity/types.ts';
 import {type PairedResult, type PathResults} from '../benchmark/path/types.ts';
 import {historyCharacters, keptCharacters} from '../src/common/fleet/configuration/head.ts';
 
-/** A VM is loaded up to this part of its measured saturation. */
+/** Planned load of a VM as a share of its measured saturation. */
 export const maxLoadShare = 0.6;
 
-/** VMs that carry one service at least (src/daemon/wiring.ts). */
+/** Smallest number of VMs that carry one service (src/daemon/wiring.ts). */
 export const minSubsetSize = 16;
 
-/** Services that one caller calls: assumed, since nobody has told. Every backend server is a caller of deeper levels. */
+/** Services that one caller calls; an assumption for lack of a figure. Every backend server is also a caller of deeper levels. */
 const servicesPerCaller = 10;
 
-/** How long a caller keeps an answer (default of the settings). */
+/** How long a caller caches an address answer (default of the settings). */
 const addressTtlSeconds = 5;
 
-/** Reads of the engine's load for gauges and answers: two each half second (src/daemon/daemon.ts). */
+/** Reads of the engine's load, for gauges and for address answers: two every half second (src/daemon/daemon.ts). */
 export const loadReadsPerSecond = 4;
 
-/** Today's 24 slots for 16 VMs. */
+/** The current fleet has 24 share slots for 16 VMs. */
 const slotsPerVm = 1.5;
 
-/** Default budget of a service: 240 calls in 10 s. */
+/** Default measuring budget of a service: 240 calls in 10 s. */
 const measuringCallsPerSecond = 24;
 
-/** 250 connections of a backend server, less the reserve of a fifth. */
+/** Connections to one backend server that all slots share: 250, less a reserve of one fifth. */
 const sharedConnections = 200;
 
-/** Both stored results. */
+/** The stored benchmark results. */
 export type StoredResults = {readonly path: PathResults; readonly capacity: CapacityResults; readonly control: ControlResults};
 
-/** One set of results at the size of the target. */
+/** Projection of one set of results to the target. Core shares are fractions of one core. */
 export class Projection {
 	readonly vms: number;
 	readonly changesPerSecond = target.changesPerDay / daySeconds;
@@ -53,19 +53,19 @@
 		return this._results.path.paired.find(result => result.name === name)!;
 	}
 
-	/** Value of a slope at a size. */
+	/** Value of the named linear cost at a size. */
 	valueAt(name: string, size: number): number {
 		const slope = this._results.capacity.slopes.find(candidate => candidate.name === name)!;
 		return slope.fixed + (slope.slope * size);
 	}
 
-	/** The line as text. */
+	/** The named linear cost as a formula. */
 	formula(name: string): string {
 		const slope = this._results.capacity.slopes.find(candidate => candidate.name === name)!;
 		return `${slope.fixed.toPrecision(3)} + ${slope.slope.toPrecision(3)} × ${slope.against}`;
 	}
 
-	/** Backend servers of the services that one VM carries, if each service is carried by the smallest subset. */
+	/** Services that one VM carries if each service is carried by the smallest subset of VMs. */
 	get carriedServices(): number {
 		return target.services * minSubsetSize / this.vms;
 	}
@@ -86,18 +86,18 @@
 		return this.valueAt('membership.messagesOutPerSecond', this.vms);
 	}
 
-	/** Engine, codec and gRPC. */
+	/** Cost of membership: engine, codec and gRPC. */
 	get membershipCoreShare(): number {
 		const transport = 2 * this.messagesOutPerSecond * this._results.capacity.transport.processorMicrosecondsPerMessage / 1e6;
 		return this.valueAt('membership.engineCoreShare', this.vms) + Math.max(0, this.valueAt('membership.codecCoreShare', this.vms)) + transport;
 	}
 
-	/** Changes: the fleet engine's part and the call engine's. */
+	/** Cost of configuration changes in the fleet engine and the call engine. */
 	changeCoreShare(backendServers: number): number {
 		return this.changesPerSecond * (this.valueAt('configuration.changeMilliseconds', backendServers) + this.valueAt('calls.configureMilliseconds', backendServers)) / 1000;
 	}
 
-	/** Looks at backend servers that might be measured, and load for gauges. */
+	/** Cost of the periodic search for backend servers to measure, and of load reads. */
 	upkeepCoreShare(backendServers: number): number {
 		return Math.max(0, this.valueAt('calls.idleCoreShare', backendServers)) + (loadReadsPerSecond * Math.max(0, this.valueAt('calls.loadMilliseconds', backendServers)) / 1000);
 	}
@@ -118,12 +118,12 @@
 		return this.valueAt('membership.bytes', this.vms) + Math.max(0, this.valueAt('configuration.bytes', backendServers)) + this.callEngineBytes(backendServers);
 	}
 
-	/** With the process itself: its code, libraries and what it holds at the start. */
+	/** Memory of control and of the process itself: code, libraries and initial state. */
 	processBytes(backendServers: number): number {
 		return this._results.path.memory.startBytes + this.controlBytes(backendServers);
 	}
 
-	/** State of declared backend servers and of services that are called. */
+	/** Memory of the call engine: state of declared backend servers and of services that are called. */
 	callEngineBytes(backendServers: number): number {
 		const services = backendServers * target.services / target.backendServers;
 		return this.valueAt('calls.stateBytes', backendServers) + Math.max(0, this.valueAt('calls.activeServiceBytes', services));
@@ -133,7 +133,7 @@
 		return Math.ceil(this.vms * slotsPerVm);
 	}
 
-	/** Between two measuring calls of one VM to one backend server, with the default budget of a service. */
+	/** Time between two measuring calls of one VM to one backend server, with the default budget of a service. */
 	get measuringIntervalSeconds(): number {
 		return this.shareSlots / measuringCallsPerSecond;
 	}
@@ -142,7 +142,7 @@
 		return sharedConnections / this.shareSlots;
 	}
 
-	/** The head is sent whole with each change; its history moves between the kept and the largest length. */
+	/** Each change sends the whole head, whose history grows up to the maximum length and is then cut to the kept length. */
 	get watcherBytesPerSecond(): number {
 		return this.changesPerSecond * (keptCharacters + historyCharacters) / 2;
 	}
--- a/scripts/run-tests.ts
+++ b/scripts/run-tests.ts
@@ -1,6 +1,6 @@
 /**
- * The test command: type check, linter, then mocha. Ends with one line `N passed, N failed`.
- * A failure listed in KNOWN-RED.txt is printed and passed over; any other fails the run.
+ * Test command: runs the type check, the linter and mocha, and prints `N passed, N failed` as its last line.
+ * A failure listed in KNOWN-RED.txt is printed but does not fail the run; any other failure does.
  */
 import {spawnSync} from 'node:child_process';
 import {
@@ -23,7 +23,7 @@
 	return result.status === 0;
 }
 
-/** Titles before the first ` | ` of each line; the rest of a line tells command, seed, finding and issue. */
+/** Reads the titles of known failures: the text before the first ` | ` of each line. The rest of a line gives command, seed, finding and issue. */
 function knownRedTitles(): ReadonlySet<string> {
 	if (!existsSync('KNOWN-RED.txt')) {
 		return new Set();
--- a/src/demo/demo-fleet.ts
+++ b/src/demo/demo-fleet.ts
@@ -1,4 +1,4 @@
-/** The processes of the demo: platform, daemons, backend servers, callers. */
+/** Starts and stops the processes of the demo: platform, daemons, backend servers and callers. */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -19,16 +19,16 @@
 /** Why the demo could not be set up. */
 export type DemoFailure = Failure<'not-set-up'>;
 
-/** A running daemon. */
+/** A running daemon, with a client for its operators' port. */
 export type DemoVm = {readonly plan: VmPlan; readonly program: ChildProgram; readonly operator: OperatorClient};
 
-/** A running backend server, alone or in a group's process. */
+/** A running backend server; several of them may share a process. */
 export type DemoBackendServer = {readonly resource: BackendServer; readonly port: number; readonly program: ChildProgram};
 
 /** A running caller process. */
 export type DemoCaller = {readonly service: Service; readonly port: number; readonly program: ChildProgram};
 
-/** How a service is called. */
+/** Load on a service; see the options of src/stand-ins/caller/main.ts. */
 type Traffic = {readonly callsPerSecond: number; readonly orderShare: number; readonly workMilliseconds: number; readonly downloadEvery: number};
 
 const customers = ['baltmor', 'cometa-alta'];
@@ -58,7 +58,7 @@
 const pollMilliseconds = 50;
 const keepForMilliseconds = 1000;
 
-/** Owns all processes; a disposal kills what still runs and removes the settings files. */
+/** Owns all processes. Disposal kills those that still run and removes the settings files. */
 export class DemoFleet extends Disposable {
 	readonly vms: DemoVm[] = [];
 	readonly backendServers: DemoBackendServer[] = [];
@@ -74,12 +74,12 @@
 		}));
 	}
 
-	/** Port of the platform's stand-in. */
+	/** Port of the platform's stand-in; 0 before it has started. */
 	get platformPort(): number {
 		return this._platform?.port ?? 0;
 	}
 
-	/** Starts everything but the callers, and waits until the declared resources are in force on every VM. */
+	/** Starts all processes except the callers, and declares the resources. Resolves with their version once it is in force on every VM. */
 	async setUp(): Promise<Result<number, DemoFailure>> {
 		const platform = await this._start('src/stand-ins/platform/main', []);
 		if (platform.isErr()) {
@@ -143,12 +143,12 @@
 		return ok();
 	}
 
-	/** Ends the platform's stand-in as a crash would. */
+	/** Kills the platform's stand-in at once, as in a crash. */
 	killPlatform(): void {
 		this._platform?.program.kill();
 	}
 
-	/** What the daemons last wrote for people, for a report of a failure. */
+	/** The last lines that the daemons wrote to standard error, for a failure report. */
 	daemonErrorLines(): string {
 		return this.vms.map(vm => `${vm.plan.name}: ${vm.program.lastErrors}`).join('\n');
 	}
@@ -173,7 +173,7 @@
 		}
 	}
 
-	/** A service's backend servers share a process, but for the first: that one leaves in mid-demo and ends. */
+	/** Runs the first backend server of each service in a process of its own, and the others of the service in one process. */
 	private async _startBackendServers(services: readonly Service[], resources: readonly BackendServer[]): Promise<Result<void, DemoFailure>> {
 		const started = await Promise.all(services.map(async service => {
 			const ofService = resources.filter(resource => resource.service === service.name);
@@ -219,7 +219,7 @@
 			await delay(pollMilliseconds);
 		}
 
-		return this._fail(`version ${version} is not in force on every VM in time`);
+		return this._fail(`version ${version} did not come into force on every VM in time`);
 	}
 
 	private _fail(message: string): Result<never, DemoFailure> {
--- a/src/demo/demo-report.ts
+++ b/src/demo/demo-report.ts
@@ -1,29 +1,29 @@
-/** The demo's last words: a table of the services, what became of the two stops, the verdict. */
+/** Formats the demo's report: the table of services and the last line with the verdict. */
 import {type Service} from '../common/model/resources.ts';
 import {type CallerReport} from '../stand-ins/caller/types.ts';
 import {textTable} from '../stand-ins/text-table.ts';
 import {type Verdict} from './oracle.ts';
 
-/** One service's figures. */
+/** Figures of one service. */
 export type ServiceFigures = {
 	readonly service: Service;
 	readonly report: CallerReport;
 	readonly backendServerCount: number;
-	/** Requests for load and health that its backend servers got. */
+	/** Measuring calls that its backend servers received: requests for load and health. */
 	readonly measured: number;
 	readonly seconds: number;
 };
 
-/** Calls that the service's budget allows in the time, by every window that the time touched. */
+/** Measuring calls that the service's budget allows within the duration of the run, at least those of one window. */
 function measuringBudget({service, backendServerCount, seconds}: ServiceFigures): number {
 	const {callsPerWindow, windowMilliseconds} = service.measuring;
 	return callsPerWindow * backendServerCount * Math.max(1, seconds * 1000 / windowMilliseconds);
 }
 
-/** The table of services. */
+/** Formats the table of services. */
 export function serviceTable(figures: readonly ServiceFigures[]): string {
 	return textTable(
-		['service', 'calls', 'whole', 'refused', 'unknown', 'p50 ms', 'p99 ms', 'p99.9 ms', 'measuring', 'budget'],
+		['service', 'calls', 'correct', 'not run', 'unknown', 'p50 ms', 'p99 ms', 'p99.9 ms', 'measuring', 'budget'],
 		figures.map(figure => {
 			const {report} = figure;
 			return [
@@ -42,7 +42,7 @@
 	);
 }
 
-/** The last line. */
+/** Formats the last line of the output. */
 export function verdictLine(verdict: Verdict): string {
 	return `demo: ${verdict.calls} calls, ${verdict.wrong} wrong, ${verdict.lost} lost, ${verdict.runTwice} run twice`;
 }
--- a/src/demo/demo-run.ts
+++ b/src/demo/demo-run.ts
@@ -1,4 +1,4 @@
-/** The course of the demo: calls run, a backend server leaves, a daemon stops, the oracle counts. */
+/** Runs the demo: makes calls, drains a backend server, stops a daemon, and checks all calls by the oracle. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {type CallRecord} from '../stand-ins/backend-server/types.ts';
 import {type CallerReport} from '../stand-ins/caller/types.ts';
@@ -7,14 +7,14 @@
 import {type ServiceFigures, serviceTable, verdictLine} from './demo-report.ts';
 import {checkCalls, type Verdict} from './oracle.ts';
 
-/** What the user asked for. */
+/** Options of the demo. */
 export type DemoOptions = {
 	readonly seconds: number;
 	readonly killsPlatform: boolean;
 	readonly print: (line: string) => void;
 };
 
-/** Parts of the run after which something happens. */
+/** Steps of the demo happen after these shares of its duration. */
 const drainAtShare = 0.3;
 const killPlatformAtShare = 0.4;
 const stopAtShare = 0.5;
@@ -24,7 +24,7 @@
 
 type Step = {readonly atShare: number; readonly run: () => Promise<void>};
 
-/** Runs on a fleet that is set up. */
+/** One run on a fleet whose callers have started. */
 export class DemoRun {
 	private readonly _fleet: DemoFleet;
 	private readonly _options: DemoOptions;
@@ -44,7 +44,7 @@
 		}
 	}
 
-	/** The whole course; true = nothing wrong, lost or run twice. */
+	/** Runs all steps and prints the report. Resolves with true if no call was wrong, lost or run twice. */
 	async run(): Promise<boolean> {
 		while (this._elapsedShare() < 1) {
 			await delay(Math.min(progressMilliseconds, Math.max(1, (1 - this._elapsedShare()) * this._options.seconds * 1000)));
@@ -75,25 +75,25 @@
 	}
 
 	private async _startDraining(): Promise<void> {
-		this._options.print(`backend server ${this._drainingServer.resource.name} begins to leave`);
+		this._options.print(`backend server ${this._drainingServer.resource.name} starts to drain`);
 		await standInClient.orderBackendServer(this._drainingServer.port, {isDraining: true});
 	}
 
 	private async _killPlatform(): Promise<void> {
 		const before = await this._callsSoFar();
 		this._fleet.killPlatform();
-		this._options.print(`the platform's service is gone after ${before} calls`);
+		this._options.print(`killed the platform's service after ${before} calls`);
 	}
 
-	/** The stop takes as long as callers may keep an answer; the calls go on meanwhile. */
+	/** Starts the planned stop of a daemon, which lasts as long as callers may cache its address. Calls continue meanwhile. */
 	private async _stopDaemon(): Promise<void> {
 		const vm = this._fleet.vms.at(-1)!;
-		this._options.print(`${vm.plan.name} is told to stop`);
+		this._options.print(`stopping ${vm.plan.name}`);
 		const since = performance.now();
 		this._stopping = (async () => {
 			const code = await vm.program.stop(stopTimeoutMilliseconds);
 			const seconds = ((performance.now() - since) / 1000).toFixed(1);
-			this._options.print(code === undefined ? `${vm.plan.name} did not end in time and was killed` : `${vm.plan.name} ended with ${code} after ${seconds} s`);
+			this._options.print(code === undefined ? `${vm.plan.name} did not stop in time and was killed` : `${vm.plan.name} exited with code ${code} after ${seconds} s`);
 		})();
 	}
 
@@ -110,8 +110,8 @@
 		const reports = await this._reports();
 		const sum = (pick: (report: CallerReport) => number): number => reports.reduce((total, report) => total + pick(report), 0);
 		const seconds = Math.min(this._options.seconds, (performance.now() - this._startedAt) / 1000).toFixed(0);
-		const calls = `${sum(report => report.calls)} calls, ${sum(report => report.right)} whole`;
-		const others = `${sum(report => report.refused)} refused, ${sum(report => report.inFlight)} in flight`;
+		const calls = `${sum(report => report.calls)} calls, ${sum(report => report.right)} correct`;
+		const others = `${sum(report => report.refused)} not run, ${sum(report => report.inFlight)} in flight`;
 		this._options.print(`${seconds}/${this._options.seconds} s: ${calls}, ${others}`);
 	}
 
@@ -154,8 +154,8 @@
 	private _printCallsAfterDrain(records: readonly CallRecord[]): void {
 		const delays = records.flatMap(record => record.millisecondsIntoDrain ?? []);
 		this._options.print(delays.length === 0
-			? `${this._drainingServer.resource.name} got no new call after it began to leave`
-			: `${this._drainingServer.resource.name} got ${delays.length} new calls after it began to leave, the last after ${Math.max(...delays).toFixed(0)} ms`);
+			? `${this._drainingServer.resource.name} got no new call after the start of its drain`
+			: `${this._drainingServer.resource.name} got ${delays.length} new calls after the start of its drain, the last one after ${Math.max(...delays).toFixed(0)} ms`);
 	}
 
 	private _printFindings(verdict: Verdict): void {
--- a/src/demo/example-resources.ts
+++ b/src/demo/example-resources.ts
@@ -1,4 +1,4 @@
-/** The declared resources of the examples, brought to this machine: other addresses and data centres. */
+/** Reads the resources of the examples, and maps their backend servers to this machine. */
 import {readFileSync} from 'node:fs';
 import {join} from 'node:path';
 import {parse} from 'smol-toml';
@@ -14,7 +14,7 @@
 	'sharing-rule': z.array(sharingRuleSchema.omit({kind: true})).default([]),
 });
 
-/** One customer's example. */
+/** Resources of one customer's example. */
 export type ExampleResources = {
 	readonly services: readonly Service[];
 	readonly backendServers: readonly BackendServer[];
@@ -34,7 +34,7 @@
 	};
 }
 
-/** The backend server at its port on this machine; the example's data centres map to the demo's by their number. */
+/** Returns the backend server with a port on this machine. The number at the end of its data centre's name selects the data centre. */
 export function toLocalBackendServer(server: BackendServer, port: number, dataCentres: readonly string[]): BackendServer {
 	const number = Number(/\d+$/v.exec(server.dataCentre)?.[0] ?? 1);
 	return {
@@ -42,7 +42,7 @@
 	};
 }
 
-/** All resources of a customer as one list. */
+/** Lists all resources of a customer, with the given backend servers. */
 export function allResources(example: ExampleResources, backendServers: readonly BackendServer[]): Resource[] {
 	return [...example.services, ...example.sharingRules, ...backendServers];
 }
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -1,4 +1,4 @@
-/** `npm run demo -- --seconds N`: the whole path as processes on this machine. */
+/** `npm run demo -- --seconds N`: runs callers, daemons, backend servers and the platform's stand-in as processes on this machine. */
 import process from 'node:process';
 import sade from 'sade';
 import {describeFailure} from '../common/errors/failure.ts';
@@ -52,8 +52,8 @@
 }
 
 sade('demo', true)
-	.option('--seconds', 'How long calls run', 10)
-	.option('--kill-platform', 'End the platform\'s service in the middle')
+	.option('--seconds', 'Duration of the calls in seconds', 10)
+	.option('--kill-platform', 'Kill the platform\'s service during the run')
 	.example('--seconds 30 --kill-platform')
 	.action(main)
 	.parse(process.argv);
--- a/src/demo/operator-client.ts
+++ b/src/demo/operator-client.ts
@@ -1,4 +1,4 @@
-/** An operator's few requests to the resource API. */
+/** Minimal client of the resource API. */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
 import {err, ok, type Result} from 'neverthrow';
@@ -7,14 +7,14 @@
 import {failure, type Failure} from '../common/errors/failure.ts';
 import {type Resource} from '../common/model/resources.ts';
 
-/** Why the operator got no accepted change. */
+/** Why a change was not accepted. */
 export type OperatorFailure = Failure<'refused' | 'no-answer'>;
 
 const acceptedSchema = z.object({version: z.int()});
 const listSchema = z.object({version: z.int()});
 const retryMilliseconds = 100;
 
-/** Speaks to one VM's operators' port. */
+/** Sends requests to the operators' port of one VM. */
 export class OperatorClient {
 	private readonly _origin: string;
 	private readonly _token: string;
@@ -25,8 +25,8 @@
 	}
 
 	/**
-	 * Puts all resources together. The same operation is sent until its outcome is known: sent again, it
-	 * is recognised and made once. Gives up early once `isAlive` says that nobody will ever answer.
+	 * Puts all resources in one change, and resolves with its version. The change is sent until its outcome is known, with the
+	 * same operation id, so that it is made only once. Stops early if `isAlive` returns false.
 	 */
 	async putAll(resources: readonly Resource[], note: string, timeoutMilliseconds: number, isAlive: () => boolean): Promise<Result<number, OperatorFailure>> {
 		const body = JSON.stringify({
@@ -43,7 +43,7 @@
 
 			lastAnswer = answer === undefined ? 'no answer' : `${answer.status} ${JSON.stringify(answer.body)}`;
 			if (answer !== undefined && answer.status < 500) {
-				return err(failure('refused', `the change was refused: ${lastAnswer}`));
+				return err(failure('refused', `the change was rejected: ${lastAnswer}`));
 			}
 
 			await delay(retryMilliseconds);
@@ -52,7 +52,7 @@
 		return err(failure('no-answer', `the change was not accepted in time: ${lastAnswer}`));
 	}
 
-	/** Version in force on this VM; undefined = it does not say. */
+	/** Version in force on this VM; undefined if the VM does not return one. */
 	async versionInForce(): Promise<number | undefined> {
 		const answer = await this._send('GET', '/v1/resources');
 		return answer?.status === 200 ? listSchema.safeParse(answer.body).data?.version : undefined;
--- a/src/demo/oracle.test.ts
+++ b/src/demo/oracle.test.ts
@@ -12,8 +12,8 @@
 });
 
 describe('oracle of the demo', () => {
-	// A customer is billed twice, another is told that an order was not placed which was.
-	it('tells a doubled run, a false "not run" and an answer to what never ran', function () {
+	// Guards against an oracle that misses an order which ran twice, or one reported as not run although it ran.
+	it('detects a call that ran twice, one falsely reported as not run, and a response to one that never ran', function () {
 		const nonIdempotent = [
 			{callId: 'doubled', outcome: 'ran' as const},
 			{callId: 'denied', outcome: 'not-run' as const},
@@ -25,7 +25,7 @@
 		expect(checkCalls([report({nonIdempotent, lost: 1, inFlight: 2})], records)).toMatchSnapshot(this);
 	});
 
-	it('finds nothing in a clean run', () => {
+	it('finds no fault in a correct run', () => {
 		const verdict = checkCalls([report({nonIdempotent: [{callId: 'good', outcome: 'ran'}]})], [record('good')]);
 		expect([verdict.wrong, verdict.lost, verdict.runTwice, verdict.findings.length]).toEqual([0, 0, 0, 0]);
 	});
--- a/src/demo/oracle.ts
+++ b/src/demo/oracle.ts
@@ -1,21 +1,21 @@
-/** Compares what callers were told with what backend servers ran. */
+/** Compares the outcomes that callers received with the calls that backend servers ran. */
 import {type CallerReport} from '../stand-ins/caller/types.ts';
 import {type CallRecord} from '../stand-ins/backend-server/types.ts';
 
-/** The verdict over all calls. */
+/** Result of the check of all calls. */
 export type Verdict = {
 	readonly calls: number;
-	/** Wrong bytes, "not run" for what ran, or a whole answer to what never ran. */
+	/** Calls with wrong bytes, calls reported as not run that ran, and calls reported as run that never ran. */
 	readonly wrong: number;
-	/** No final answer. */
+	/** Calls without a final answer, also those still in flight. */
 	readonly lost: number;
 	/** Non-idempotent calls that ran more than once. */
 	readonly runTwice: number;
-	/** What went wrong, for people. */
+	/** Descriptions of the faults. */
 	readonly findings: readonly string[];
 };
 
-/** Every run of every call, by call. */
+/** Counts the runs of each call by its id. */
 function countRuns(records: readonly CallRecord[]): Map<string, number> {
 	const runs = new Map<string, number>();
 	for (const record of records) {
@@ -25,7 +25,7 @@
 	return runs;
 }
 
-/** Judges all callers' reports by all backend servers' records. */
+/** Checks the reports of all callers against the records of all backend servers. */
 export function checkCalls(reports: readonly CallerReport[], records: readonly CallRecord[]): Verdict {
 	const runs = countRuns(records);
 	const findings: string[] = [];
@@ -40,7 +40,7 @@
 
 		if ((outcome === 'not-run' && count > 0) || (outcome === 'ran' && count === 0)) {
 			wrong++;
-			findings.push(`${callId} was said to be ${outcome} and ran ${count} times`);
+			findings.push(`${callId} was reported as ${outcome} but ran ${count} times`);
 		}
 	}
 
--- a/src/demo/vm-settings.ts
+++ b/src/demo/vm-settings.ts
@@ -1,10 +1,10 @@
-/** Settings files of the demo's daemons: those of the examples, with ports of this machine. */
+/** Writes the settings files of the demo's daemons: those of the examples, with ports of this machine. */
 import {readFileSync, writeFileSync} from 'node:fs';
 import {join} from 'node:path';
 import {parse, stringify} from 'smol-toml';
 import {packageRoot} from '../stand-ins/program-files.ts';
 
-/** Where one daemon listens, and whom it knows. */
+/** Name, data centre and ports of one daemon. */
 export type VmPlan = {
 	readonly name: string;
 	readonly dataCentre: string;
@@ -13,7 +13,7 @@
 	readonly peerPort: number;
 };
 
-/** What all daemons of a demo or benchmark share. */
+/** Settings that all daemons of a demo or benchmark share. */
 export type VmSettingsOptions = {
 	readonly platformUrl: string;
 	readonly tokensFile: string;
@@ -24,10 +24,10 @@
 /** The write token of the examples. */
 export const exampleToken = 'example-only-write-token-baltmor';
 
-/** Tokens file of the examples. */
+/** Path of the tokens file of the examples. */
 export const exampleTokensFile = join(packageRoot, 'examples', 'baltmor', 'tokens.toml');
 
-/** Writes the settings file of a VM into the folder; the value is its path. */
+/** Writes the settings file of a VM into the folder, with the other plans as its seeds. Returns the file's path. */
 export function writeVmSettings(folder: string, plan: VmPlan, plans: readonly VmPlan[], options: VmSettingsOptions): string {
 	const example = parse(readFileSync(join(packageRoot, 'examples', 'baltmor', 'vm-gdansk-1.toml'), 'utf8'));
 	const address = '127.0.0.1';
