--- a/src/cli/api-client.ts
+++ b/src/cli/api-client.ts
@@ -44,8 +44,8 @@
 
 	/** Sends a request and parses the response body with the schema. */
 	async request<Schema extends z.ZodType>(method: string, path: string, schema: Schema, options: RequestOptions = {}): Promise<Result<z.infer<Schema>, ClientFailure>> {
-		const answer = await this.send(method, path, options);
-		return answer.andThen(text => parseBody(text, schema));
+		const response = await this.send(method, path, options);
+		return response.andThen(text => parseBody(text, schema));
 	}
 
 	/**
@@ -77,7 +77,7 @@
 	private async _sendTo(server: string, method: string, path: string, options: RequestOptions): Promise<Result<string, ClientFailure>> {
 		const {body, timeoutMilliseconds = defaultTimeoutMilliseconds} = options;
 		try {
-			const answer = await this._terminal.exchange(`${server}${path}`, {
+			const response = await this._terminal.sendHttpRequest(`${server}${path}`, {
 				method,
 				headers: {
 					authorization: `Bearer ${this._token}`,
@@ -86,7 +86,7 @@
 				...(body !== undefined && {body: JSON.stringify(body)}),
 				signal: AbortSignal.any([AbortSignal.timeout(timeoutMilliseconds), this._terminal.signal]),
 			});
-			return await parseResponse(answer);
+			return await parseResponse(response);
 		} catch (error) {
 			return err(toFailure(server, error));
 		}
@@ -98,15 +98,15 @@
 	return value.kind === 'problem' && value.problem.type === `${problemTypePrefix}not-ready`;
 }
 
-async function parseResponse(answer: HttpResponse): Promise<Result<string, ClientFailure>> {
-	const text = await answer.text();
-	if (answer.status < 400) {
+async function parseResponse(response: HttpResponse): Promise<Result<string, ClientFailure>> {
+	const text = await response.text();
+	if (response.status < 400) {
 		return ok(text);
 	}
 
 	const parsed = problemSchema.safeParse(parseJson(text));
 	if (!parsed.success || !parsed.data.type.startsWith(problemTypePrefix)) {
-		return err(failure('not-jaydale', `the response has status ${answer.status} and does not come from jaydale; check the address`));
+		return err(failure('not-jaydale', `the response has status ${response.status} and does not come from jaydale; check the address`));
 	}
 
 	return err({...failure('problem', `${parsed.data.title}: ${parsed.data.detail}`), problem: parsed.data});
--- a/src/cli/command-line-page.test.ts
+++ b/src/cli/command-line-page.test.ts
@@ -9,12 +9,12 @@
 	it('lists every command with its own options, the common options and all exit codes', () => {
 		const commands = allCommands(async () => 0);
 		const common = new Set(['server', 'token-file', 'format', 'note', 'operation', 'wait']);
-		const lacking = commands.flatMap(({usage, options}) => {
+		const missing = commands.flatMap(({usage, options}) => {
 			const line = page.split('\n').find(candidate => candidate.startsWith(`| \`${usage === 'settings check <file>' ? 'settings check FILE' : usage}`));
-			const lackingOptions = options.filter(option => common.has(option.name) ? !page.includes(`--${option.name}`) : !line?.includes(`--${option.name}`));
-			return [...lackingOptions.map(option => `${usage} --${option.name}`), ...(line === undefined ? [usage] : [])];
+			const missingOptions = options.filter(option => common.has(option.name) ? !page.includes(`--${option.name}`) : !line?.includes(`--${option.name}`));
+			return [...missingOptions.map(option => `${usage} --${option.name}`), ...(line === undefined ? [usage] : [])];
 		});
-		expect(lacking).toEqual([]);
+		expect(missing).toEqual([]);
 		const codes = [...page.matchAll(/^\| (?<code>\d) \|/gmv)].map(match => Number(match.groups!.code));
 		expect(codes).toEqual(Object.values(exitCodes).toSorted((first, second) => first - second));
 	});
--- a/src/cli/commands/log-level.ts
+++ b/src/cli/commands/log-level.ts
@@ -31,11 +31,11 @@
 };
 
 async function showLevel(context: CommandContext, client: ApiClient): Promise<ExitCode> {
-	const answer = await client.request('GET', '/v1/log-level', logLevelSchema);
-	return answer.match(value => printAnswer(context, value, () => [value.level]), value => reportReadFailure(context.terminal, value));
+	const response = await client.request('GET', '/v1/log-level', logLevelSchema);
+	return response.match(value => printAnswer(context, value, () => [value.level]), value => reportReadFailure(context.terminal, value));
 }
 
 async function changeLevel(context: CommandContext, client: ApiClient, level: LogLevel): Promise<ExitCode> {
-	const answer = await client.request('PUT', '/v1/log-level', logLevelSchema, {body: {level}});
-	return answer.match(value => printAnswer(context, value, () => [value.level]), value => reportFailure(context.terminal, value));
+	const response = await client.request('PUT', '/v1/log-level', logLevelSchema, {body: {level}});
+	return response.match(value => printAnswer(context, value, () => [value.level]), value => reportFailure(context.terminal, value));
 }
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -21,7 +21,7 @@
 
 function formatStatus(status: Status): string[] {
 	const isBehind = status.newestKnownVersion > status.version;
-	const pairs = [
+	const summaryRows = [
 		['VM', `${status.name} in ${status.dataCentre} (${status.identity})`],
 		['stage', `${status.stage}${status.isCutOff ? ', cut off from the platform and all VMs' : ''}`],
 		['configuration', `version ${status.version} in force${isBehind ? `, ${status.newestKnownVersion} known` : ''}`],
@@ -29,7 +29,7 @@
 		['share of budgets', status.shareSlot === null ? 'none: no measuring calls' : `slot ${status.shareSlot}`],
 		['calls', `${status.callsInFlight} in flight, ${status.callsQueued} queued`],
 	] as const;
-	return [...pairs.map(([name, value]) => `${name.padEnd(17)} ${value}`), '', ...formatBackendServers(status)];
+	return [...summaryRows.map(([name, value]) => `${name.padEnd(17)} ${value}`), '', ...formatBackendServers(status)];
 }
 
 function formatBackendServers(status: Status): string[] {
--- a/src/cli/options.ts
+++ b/src/cli/options.ts
@@ -1,12 +1,12 @@
 /** The options of one command run. */
 
-type Value = string | boolean | number | undefined | ReadonlyArray<string | boolean | number>;
+type OptionValue = string | boolean | number | undefined | ReadonlyArray<string | boolean | number>;
 
 /** Reads options by name. The parser has already checked that each option is known and has a valid value. */
 export class Options {
-	private readonly _values: Readonly<Record<string, Value>>;
+	private readonly _values: Readonly<Record<string, OptionValue>>;
 
-	constructor(values: Readonly<Record<string, Value>>) {
+	constructor(values: Readonly<Record<string, OptionValue>>) {
 		this._values = values;
 	}
 
--- a/src/cli/process-terminal.ts
+++ b/src/cli/process-terminal.ts
@@ -33,10 +33,10 @@
 		},
 		environment: process.env,
 		readText,
-		async exchange(url, request) {
+		async sendHttpRequest(url, request) {
 			// `fetch` blocks some ports that an operator may choose.
-			const answer = await sendRequest(url, request);
-			return {status: answer.statusCode, text: async () => answer.body.text()};
+			const response = await sendRequest(url, request);
+			return {status: response.statusCode, text: async () => response.body.text()};
 		},
 		async sleep(milliseconds) {
 			try {
--- a/src/cli/resource-files.ts
+++ b/src/cli/resource-files.ts
@@ -48,11 +48,11 @@
 		return err(inputFailures(parsed.error, input, fileSchema).map(fault => inFile(path, fault)));
 	}
 
-	const {service, 'backend-server': backendServers, 'sharing-rule': rules} = parsed.data;
+	const {service, 'backend-server': backendServers, 'sharing-rule': sharingRules} = parsed.data;
 	return ok([
 		...service.map(fields => ({kind: 'service' as const, ...fields})),
 		...backendServers.map(fields => ({kind: 'backend-server' as const, ...fields})),
-		...rules.map(fields => ({kind: 'sharing-rule' as const, ...fields})),
+		...sharingRules.map(fields => ({kind: 'sharing-rule' as const, ...fields})),
 	]);
 }
 
--- a/src/cli/run.test.ts
+++ b/src/cli/run.test.ts
@@ -81,7 +81,7 @@
 			},
 			environment: this.environment,
 			readText: path => this.files.has(path) ? okAsync(this.files.get(path)!) : errAsync(failure('unreadable-file', 'the file cannot be read')),
-			exchange: this._sendRequest,
+			sendHttpRequest: this._sendRequest,
 			sleep: async milliseconds => {
 				this._now += milliseconds;
 			},
@@ -104,12 +104,12 @@
 			return problemResponse(problem('not-ready', 'no configuration yet'));
 		}
 
-		const answer = await this._api.handle(new Request(url, {method: request.method, headers: request.headers, body: request.body}));
+		const response = await this._api.handle(new Request(url, {method: request.method, headers: request.headers, body: request.body}));
 		if (this.silent.has(origin)) {
 			throw new TypeError('fetch failed', {cause: Object.assign(new Error('other side closed'), {code: 'UND_ERR_SOCKET'})});
 		}
 
-		return answer;
+		return response;
 	};
 }
 
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -2,10 +2,10 @@
 
 /** Aligns rows under their headings, two spaces apart; numeric columns are right-aligned. */
 export function formatTable(headings: readonly string[], rows: ReadonlyArray<readonly string[]>): string[] {
-	const lines = [headings, ...rows];
-	const widths = headings.map((_, column) => Math.max(...lines.map(line => line[column]!.length)));
+	const allRows = [headings, ...rows];
+	const widths = headings.map((_, column) => Math.max(...allRows.map(line => line[column]!.length)));
 	const isNumeric = headings.map((_, column) => rows.length > 0 && rows.every(row => /^(?:[\d.\-]+(?:%|x| ms)?|-)$/v.test(row[column]!)));
-	return lines.map(line => line
+	return allRows.map(line => line
 		.map((cell, column) => isNumeric[column] ? cell.padStart(widths[column]!) : cell.padEnd(widths[column]!))
 		.join('  ')
 		.trimEnd());
--- a/src/cli/types.ts
+++ b/src/cli/types.ts
@@ -29,7 +29,7 @@
 	readonly environment: Readonly<Record<string, string | undefined>>;
 	/** Reads a file, or standard input for `-`. */
 	readText(path: string): ResultAsync<string, ReadFailure>;
-	readonly exchange: SendHttpRequest;
+	readonly sendHttpRequest: SendHttpRequest;
 	/** Waits for the given time, or until the signal aborts. */
 	sleep(milliseconds: number): Promise<void>;
 	/** Milliseconds on a monotonic clock. */
--- a/src/demo/operator-client.ts
+++ b/src/demo/operator-client.ts
@@ -33,41 +33,41 @@
 			operation: randomUUID(), note, mutations: resources.map(resource => ({type: 'put', resource})),
 		});
 		const deadline = performance.now() + timeoutMilliseconds;
-		let lastAnswer = 'no answer';
+		let lastResponse = 'no answer';
 		while (performance.now() < deadline && isAlive()) {
-			const answer = await this._send('POST', '/v1/changes', body);
-			const accepted = acceptedSchema.safeParse(answer?.body);
-			if (answer?.status === 200 && accepted.success) {
+			const response = await this._send('POST', '/v1/changes', body);
+			const accepted = acceptedSchema.safeParse(response?.body);
+			if (response?.status === 200 && accepted.success) {
 				return ok(accepted.data.version);
 			}
 
-			lastAnswer = answer === undefined ? 'no answer' : `${answer.status} ${JSON.stringify(answer.body)}`;
-			if (answer !== undefined && answer.status < 500) {
-				return err(failure('refused', `the change was rejected: ${lastAnswer}`));
+			lastResponse = response === undefined ? 'no answer' : `${response.status} ${JSON.stringify(response.body)}`;
+			if (response !== undefined && response.status < 500) {
+				return err(failure('refused', `the change was rejected: ${lastResponse}`));
 			}
 
 			await delay(retryMilliseconds);
 		}
 
-		return err(failure('no-answer', `the change was not accepted in time: ${lastAnswer}`));
+		return err(failure('no-answer', `the change was not accepted in time: ${lastResponse}`));
 	}
 
 	/** Version in force on this VM; undefined if the VM does not return one. */
 	async versionInForce(): Promise<number | undefined> {
-		const answer = await this._send('GET', '/v1/resources');
-		return answer?.status === 200 ? listSchema.safeParse(answer.body).data?.version : undefined;
+		const response = await this._send('GET', '/v1/resources');
+		return response?.status === 200 ? listSchema.safeParse(response.body).data?.version : undefined;
 	}
 
 	private async _send(method: 'GET' | 'POST', path: string, body?: string): Promise<{status: number; body: unknown} | undefined> {
 		try {
-			const answer = await request(`${this._origin}${path}`, {
+			const response = await request(`${this._origin}${path}`, {
 				method,
 				headers: {authorization: `Bearer ${this._token}`, ...(body !== undefined && {'content-type': 'application/json'})},
 				...(body !== undefined && {body}),
 				signal: AbortSignal.timeout(5000),
 			});
-			const text = await answer.body.text();
-			return {status: answer.statusCode, body: JSON.parse(text)};
+			const text = await response.body.text();
+			return {status: response.statusCode, body: JSON.parse(text)};
 		} catch {
 			return undefined;
 		}
--- a/src/stand-ins/answer-body.ts
+++ b/src/stand-ins/answer-body.ts
@@ -79,10 +79,10 @@
 
 		let position = 0;
 		while (position < bytes.length) {
-			const inBlock = (offset + position) % blockBytes;
-			const size = Math.min(blockBytes - inBlock, bytes.length - position);
+			const offsetInBlock = (offset + position) % blockBytes;
+			const size = Math.min(blockBytes - offsetInBlock, bytes.length - position);
 			const block = Math.floor((offset + position) / blockBytes);
-			if (!this._matchesInBlock(bytes.subarray(position, position + size), block, inBlock)) {
+			if (!this._matchesInBlock(bytes.subarray(position, position + size), block, offsetInBlock)) {
 				return false;
 			}
 
@@ -92,18 +92,18 @@
 		return true;
 	}
 
-	private _matchesInBlock(bytes: Uint8Array, block: number, inBlock: number): boolean {
+	private _matchesInBlock(bytes: Uint8Array, block: number, offsetInBlock: number): boolean {
 		const stamp = this._stamp(block);
 		let position = 0;
-		while (inBlock + position < stampBytes && position < bytes.length) {
-			if (bytes[position] !== stampByte(stamp, inBlock + position)) {
+		while (offsetInBlock + position < stampBytes && position < bytes.length) {
+			if (bytes[position] !== stampByte(stamp, offsetInBlock + position)) {
 				return false;
 			}
 
 			position++;
 		}
 
-		const tableOffset = (this._hash % blockBytes) + inBlock;
+		const tableOffset = (this._hash % blockBytes) + offsetInBlock;
 		return table.compare(bytes, position, bytes.length, tableOffset + position, tableOffset + bytes.length) === 0;
 	}
 
--- a/src/stand-ins/caller/caller-stand-in.ts
+++ b/src/stand-ins/caller/caller-stand-in.ts
@@ -29,9 +29,9 @@
 			this._load?.stop();
 			return context.json({});
 		});
-		const answer = getRequestListener(routes.fetch, {overrideGlobalObjects: false});
+		const handleRequest = getRequestListener(routes.fetch, {overrideGlobalObjects: false});
 		this._listener = this._register(new HttpListener({address, port}, (request, response) => {
-			void answer(request, response);
+			void handleRequest(request, response);
 		}));
 	}
 
--- a/src/stand-ins/caller/caller.ts
+++ b/src/stand-ins/caller/caller.ts
@@ -150,10 +150,10 @@
 		const expected = new AnswerBody({
 			method: call.method, path: call.path, callId: call.callId, requestDigest: bodyDigest(call.body ?? new Uint8Array()),
 		}, call.answerBytes);
-		const {length, areRight} = await this._readBody(response.body, expected);
+		const {length, isMatch} = await this._readBody(response.body, expected);
 		const outcome = this._outcome(response);
 		const isSuccess = response.statusCode === 200;
-		const isRight = isSuccess && areRight && length === call.answerBytes;
+		const isRight = isSuccess && isMatch && length === call.answerBytes;
 		const retryAfter = Number(response.headers['retry-after']);
 		return {
 			outcome,
@@ -165,15 +165,15 @@
 		};
 	}
 
-	private async _readBody(body: AsyncIterable<Uint8Array>, expected: AnswerBody): Promise<{length: number; areRight: boolean}> {
+	private async _readBody(body: AsyncIterable<Uint8Array>, expected: AnswerBody): Promise<{length: number; isMatch: boolean}> {
 		let length = 0;
-		let areRight = true;
+		let isMatch = true;
 		for await (const bytes of body) {
-			areRight &&= expected.matches(bytes, length);
+			isMatch &&= expected.matches(bytes, length);
 			length += bytes.length;
 		}
 
-		return {length, areRight};
+		return {length, isMatch};
 	}
 
 	private _outcome(response: Dispatcher.ResponseData): CallOutcome {
--- a/src/stand-ins/platform/platform-stand-in.ts
+++ b/src/stand-ins/platform/platform-stand-in.ts
@@ -43,9 +43,9 @@
 
 	constructor(port = 0, address = '127.0.0.1') {
 		super();
-		const answer = getRequestListener(this._routes().fetch, {overrideGlobalObjects: false});
+		const handleRequest = getRequestListener(this._routes().fetch, {overrideGlobalObjects: false});
 		this._listener = this._register(new HttpListener({address, port}, (request, response) => {
-			void answer(request, response);
+			void handleRequest(request, response);
 		}));
 		this._register(toDisposable(() => {
 			this._disposeController.abort();
--- a/src/stand-ins/stand-in-client.ts
+++ b/src/stand-ins/stand-in-client.ts
@@ -11,10 +11,10 @@
 const platformCountsSchema = z.record(z.string(), z.number());
 
 async function sendRequest(port: number, path: string, content?: unknown): Promise<unknown> {
-	const answer = await request(`http://127.0.0.1:${port}${path}`, content === undefined
+	const response = await request(`http://127.0.0.1:${port}${path}`, content === undefined
 		? {}
 		: {method: 'POST', body: JSON.stringify(content), headers: {'content-type': 'application/json'}});
-	return answer.body.json();
+	return response.body.json();
 }
 
 /** One function per admin endpoint; each takes the port of a stand-in on this machine. */
--- a/src/stand-ins/stand-ins.test.ts
+++ b/src/stand-ins/stand-ins.test.ts
@@ -30,8 +30,8 @@
 		const port = started._unsafeUnwrap();
 		const send = async (operation: StoreOperation): Promise<unknown> => {
 			try {
-				const answer = await request(`http://127.0.0.1:${port}/kv`, {method: 'POST', body: JSON.stringify(operation)});
-				return await answer.body.json();
+				const response = await request(`http://127.0.0.1:${port}/kv`, {method: 'POST', body: JSON.stringify(operation)});
+				return await response.body.json();
 			} catch {
 				return 'cut';
 			}
@@ -109,8 +109,8 @@
 			const started = await platform.start();
 			const port = started._unsafeUnwrap();
 			const list = async (): Promise<unknown> => {
-				const answer = await request(`http://127.0.0.1:${port}/vms`);
-				return answer.body.json();
+				const response = await request(`http://127.0.0.1:${port}/vms`);
+				return response.body.json();
 			};
 
 			platform.setVms([{address: '127.0.0.1', dataCentre: 'a', state: 'live'}]);
@@ -129,9 +129,9 @@
 		it('sheds calls when slots and queue are full, and counts no start of a shed call', async () => {
 			const {server, origin} = await startBackendServer({slots: 1, queueLimit: 1});
 			const answers = await Promise.all(['a', 'b', 'c'].map(async callId => {
-				const answer = await request(`${origin}/x`, {headers: headers(callId, 30)});
-				await answer.body.dump();
-				return `${answer.statusCode} ${String(answer.headers['jaydale-not-run'])}`;
+				const response = await request(`${origin}/x`, {headers: headers(callId, 30)});
+				await response.body.dump();
+				return `${response.statusCode} ${String(response.headers['jaydale-not-run'])}`;
 			}));
 			expect(answers.toSorted((first, second) => first < second ? -1 : 1)).toEqual(['200 undefined', '200 undefined', '503 not-run']);
 			expect(server.counts()).toLooseEqual({...server.counts(), started: 2, shed: 1});
@@ -180,14 +180,14 @@
 		// Simulates a network path that drops the state of open connections: callers get no response there, but new connections work.
 		it('does not respond on open connections when silent, and cuts all connections on a crash', async () => {
 			const {server, origin} = await startBackendServer();
-			const held = new Agent({connections: 1});
+			const keepAliveAgent = new Agent({connections: 1});
 			store.add(toDisposable(() => {
-				void held.destroy();
+				void keepAliveAgent.destroy();
 			}));
-			const first = await request(`${origin}/x`, {headers: headers('first', 0), dispatcher: held});
+			const first = await request(`${origin}/x`, {headers: headers('first', 0), dispatcher: keepAliveAgent});
 			await first.body.dump();
 			server.update({mode: 'silent'});
-			const silent = await request(`${origin}/x`, {headers: headers('silent', 0), dispatcher: held, signal: AbortSignal.timeout(50)}).catch(() => 'silence');
+			const silent = await request(`${origin}/x`, {headers: headers('silent', 0), dispatcher: keepAliveAgent, signal: AbortSignal.timeout(50)}).catch(() => 'silence');
 			expect(silent).toEqual('silence');
 			const fresh = await request(`${origin}/x`, {headers: headers('fresh', 0)});
 			await fresh.body.dump();
@@ -231,14 +231,14 @@
 				}
 
 				calls++;
-				const answer = answerCall(calls);
+				const response = answerCall(calls);
 				incoming.resume().once('end', () => {
-					if (answer === 'cut') {
+					if (response === 'cut') {
 						incoming.socket.destroy();
 						return;
 					}
 
-					outgoing.writeHead(answer.status, {'jaydale-outcome': answer.outcome, 'retry-after': '0'}).end();
+					outgoing.writeHead(response.status, {'jaydale-outcome': response.outcome, 'retry-after': '0'}).end();
 				});
 			}));
 			const listening = await listener.listen();
