--- a/src/cli/call-story.ts
+++ b/src/cli/call-story.ts
@@ -4,7 +4,7 @@
 /** Context lines are included if the same VM logged them within this time of a line of the call. */
 const contextWindowMilliseconds = 3000;
 
-/** Messages that explain a VM's decisions: changes of its configuration, backend servers, store and stage. All other messages belong to single calls. */
+/** Messages that explain a VM's decisions: changes of its configuration, backend servers, store and stage. Other messages concern other calls. */
 const contextMessages: ReadonlySet<string> = new Set([
 	'configuration adopted',
 	'configuration rejected; the one in force stays',
--- a/src/cli/commands/burn.ts
+++ b/src/cli/commands/burn.ts
@@ -3,7 +3,7 @@
 	burnReportSchema, burnWindowNames, type BurnReport, type ServiceBurn,
 } from '../../common/burn/types.ts';
 import {
-	formatOption, withSession, sessionOptions, printAnswer, reportReadFailure,
+	formatOption, withSession, sessionOptions, printResult, reportReadFailure,
 } from '../session.ts';
 import {formatMilliseconds, formatTable} from '../table.ts';
 import {type CommandDefinition} from '../types.ts';
@@ -16,7 +16,7 @@
 	async run(context) {
 		return withSession(context, async client => {
 			const report = await client.request('GET', '/v1/burn', burnReportSchema);
-			return report.match(value => printAnswer(context, value, () => formatReport(value)), value => reportReadFailure(context.terminal, value));
+			return report.match(value => printResult(context, value, () => formatReport(value)), value => reportReadFailure(context.terminal, value));
 		});
 	},
 };
--- a/src/cli/commands/history.ts
+++ b/src/cli/commands/history.ts
@@ -4,7 +4,7 @@
 import {formatChanges} from '../describe-changes.ts';
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {
-	formatOption, withSession, sessionOptions, printAnswer, reportReadFailure,
+	formatOption, withSession, sessionOptions, printResult, reportReadFailure,
 } from '../session.ts';
 import {formatTable} from '../table.ts';
 import {type CommandContext, type CommandDefinition} from '../types.ts';
@@ -38,13 +38,13 @@
 
 async function printHistory(context: CommandContext, client: ApiClient, limit: number): Promise<ExitCode> {
 	const history = await client.request('GET', `/v1/history?limit=${limit}`, historySchema);
-	return history.match(value => printAnswer(context, value, () => formatRecords(value.records)), value => reportReadFailure(context.terminal, value));
+	return history.match(value => printResult(context, value, () => formatRecords(value.records)), value => reportReadFailure(context.terminal, value));
 }
 
 async function printOperation(context: CommandContext, client: ApiClient, operation: string): Promise<ExitCode> {
 	const outcome = await client.request('GET', `/v1/operations/${encodeURIComponent(operation)}`, operationStateSchema);
 	return outcome.match(state => {
-		printAnswer(context, state, () => [state.state === 'accepted'
+		printResult(context, state, () => [state.state === 'accepted'
 			? `accepted as version ${state.version}`
 			: 'not among the changes in force on this VM; it may still be in progress: repeat the command with --operation to find out']);
 		return state.state === 'accepted' ? exitCodes.done : exitCodes.notFound;
--- a/src/cli/commands/log-level.ts
+++ b/src/cli/commands/log-level.ts
@@ -4,7 +4,7 @@
 import {type ApiClient} from '../api-client.ts';
 import {type ExitCode} from '../exit-codes.ts';
 import {
-	formatOption, withSession, sessionOptions, printAnswer, reportFailure, reportReadFailure,
+	formatOption, withSession, sessionOptions, printResult, reportFailure, reportReadFailure,
 } from '../session.ts';
 import {type CommandContext, type CommandDefinition} from '../types.ts';
 import {parseChoice} from './parameters.ts';
@@ -32,10 +32,10 @@
 
 async function showLevel(context: CommandContext, client: ApiClient): Promise<ExitCode> {
 	const response = await client.request('GET', '/v1/log-level', logLevelSchema);
-	return response.match(value => printAnswer(context, value, () => [value.level]), value => reportReadFailure(context.terminal, value));
+	return response.match(value => printResult(context, value, () => [value.level]), value => reportReadFailure(context.terminal, value));
 }
 
 async function changeLevel(context: CommandContext, client: ApiClient, level: LogLevel): Promise<ExitCode> {
 	const response = await client.request('PUT', '/v1/log-level', logLevelSchema, {body: {level}});
-	return response.match(value => printAnswer(context, value, () => [value.level]), value => reportFailure(context.terminal, value));
+	return response.match(value => printResult(context, value, () => [value.level]), value => reportFailure(context.terminal, value));
 }
--- a/src/cli/commands/quarantine.ts
+++ b/src/cli/commands/quarantine.ts
@@ -2,7 +2,7 @@
 import {quarantineSchema, type QuarantineEntry} from '../../node/api/types.ts';
 import {exitCodes} from '../exit-codes.ts';
 import {
-	formatOption, withSession, sessionOptions, printAnswer, reportFailure, reportReadFailure,
+	formatOption, withSession, sessionOptions, printResult, reportFailure, reportReadFailure,
 } from '../session.ts';
 import {formatMilliseconds, formatTable} from '../table.ts';
 import {type CommandDefinition} from '../types.ts';
@@ -15,7 +15,7 @@
 	async run(context) {
 		return withSession(context, async client => {
 			const list = await client.request('GET', '/v1/quarantine', quarantineSchema);
-			return list.match(value => printAnswer(context, value, () => formatEntries(value.entries)), value => reportReadFailure(context.terminal, value));
+			return list.match(value => printResult(context, value, () => formatEntries(value.entries)), value => reportReadFailure(context.terminal, value));
 		});
 	},
 };
--- a/src/cli/commands/status.ts
+++ b/src/cli/commands/status.ts
@@ -1,7 +1,7 @@
 /** `jaydale status`: shows the state of one VM. */
 import {statusSchema, type Status} from '../../node/api/types.ts';
 import {
-	formatOption, withSession, sessionOptions, printAnswer, reportReadFailure,
+	formatOption, withSession, sessionOptions, printResult, reportReadFailure,
 } from '../session.ts';
 import {formatMilliseconds, formatTable} from '../table.ts';
 import {type CommandDefinition} from '../types.ts';
@@ -14,7 +14,7 @@
 	async run(context) {
 		return withSession(context, async client => {
 			const status = await client.request('GET', '/v1/status', statusSchema);
-			return status.match(value => printAnswer(context, value, () => formatStatus(value)), value => reportReadFailure(context.terminal, value));
+			return status.match(value => printResult(context, value, () => formatStatus(value)), value => reportReadFailure(context.terminal, value));
 		});
 	},
 };
--- a/src/cli/commands/vm.ts
+++ b/src/cli/commands/vm.ts
@@ -1,7 +1,7 @@
 /** `jaydale vm`: lists and drains VMs. */
 import {vmListSchema, vmStatusSchema, type VmStatus} from '../../node/api/types.ts';
 import {
-	formatOption, withSession, sessionOptions, printAnswer, reportFailure, reportReadFailure,
+	formatOption, withSession, sessionOptions, printResult, reportFailure, reportReadFailure,
 } from '../session.ts';
 import {formatMilliseconds, formatTable} from '../table.ts';
 import {type CommandDefinition} from '../types.ts';
@@ -14,13 +14,13 @@
 	async run(context) {
 		return withSession(context, async client => {
 			const list = await client.request('GET', '/v1/vms', vmListSchema);
-			return list.match(value => printAnswer(context, value, () => formatVms(value.vms)), value => reportReadFailure(context.terminal, value));
+			return list.match(value => printResult(context, value, () => formatVms(value.vms)), value => reportReadFailure(context.terminal, value));
 		});
 	},
 };
 
 function formatVms(vms: readonly VmStatus[]): string[] {
-	return formatTable(['ADDRESS', 'DATA CENTRE', 'STATE', 'VERSION', 'BEHIND', 'HEARD', 'IDENTITY'], vms.map(vm => [
+	return formatTable(['ADDRESS', 'DATA CENTRE', 'STATE', 'VERSION', 'BEHIND', 'CONTACT', 'IDENTITY'], vms.map(vm => [
 		vm.address,
 		vm.dataCentre,
 		vm.state,
@@ -41,7 +41,7 @@
 		return withSession(context, async client => {
 			const outcome = await client.request('POST', `/v1/vms/${encodeURIComponent(vm)}/drain`, vmStatusSchema);
 			return outcome.match(
-				value => printAnswer(context, value, () => [`${value.address} is draining; "jaydale vm list" shows when it has left`]),
+				value => printResult(context, value, () => [`${value.address} is draining; "jaydale vm list" shows when it has left`]),
 				value => reportFailure(context.terminal, value),
 			);
 		});
--- a/src/cli/resource-files.ts
+++ b/src/cli/resource-files.ts
@@ -1,4 +1,4 @@
-/** Reads and writes resource files: TOML with `[[service]]`, `[[backend-server]]` and `[[sharing-rule]]` tables. */
+/** Parses and formats resources as TOML with `[[service]]`, `[[backend-server]]` and `[[sharing-rule]]` tables. */
 import {
 	err, ok, ResultAsync, type Result,
 } from 'neverthrow';
--- a/src/cli/session.ts
+++ b/src/cli/session.ts
@@ -47,7 +47,7 @@
 }
 
 /** Prints a result in the requested format. */
-export function printAnswer(context: CommandContext, value: unknown, toLines: () => readonly string[]): ExitCode {
+export function printResult(context: CommandContext, value: unknown, toLines: () => readonly string[]): ExitCode {
 	const lines = context.options.text('format') === 'json' ? [JSON.stringify(value)] : toLines();
 	for (const line of lines) {
 		context.terminal.print(line);
--- a/src/demo/demo-fleet.ts
+++ b/src/demo/demo-fleet.ts
@@ -173,7 +173,7 @@
 		}
 	}
 
-	/** Runs the first backend server of each service in a process of its own, and the others of the service in one process. */
+	/** Runs the first backend server of each service in a process of its own, because the demo drains one of these. The others of a service share a process. */
 	private async _startBackendServers(services: readonly Service[], resources: readonly BackendServer[]): Promise<Result<void, DemoFailure>> {
 		const started = await Promise.all(services.map(async service => {
 			const ofService = resources.filter(resource => resource.service === service.name);
--- a/src/stand-ins/backend-server/backend-server-stand-in.ts
+++ b/src/stand-ins/backend-server/backend-server-stand-in.ts
@@ -97,7 +97,7 @@
 		}
 	}
 
-	answerHeaders(): Record<string, string> {
+	responseHeaders(): Record<string, string> {
 		const report = this._report();
 		return {
 			[loadReportHeader]: formatLoadReport(report),
@@ -191,7 +191,7 @@
 
 		if (this._mode === 'fail-fast') {
 			request.resume();
-			response.writeHead(500, {...this.answerHeaders(), 'content-length': 0}).end();
+			response.writeHead(500, {...this.responseHeaders(), 'content-length': 0}).end();
 			return;
 		}
 
@@ -242,7 +242,7 @@
 	private _shed(run: CallRun): void {
 		this._counts.shed++;
 		run.response.writeHead(503, {
-			...this.answerHeaders(), [declaredNotRunHeader]: 'not-run', 'retry-after': String(retryAfterSeconds), 'content-length': '0',
+			...this.responseHeaders(), [declaredNotRunHeader]: 'not-run', 'retry-after': String(retryAfterSeconds), 'content-length': '0',
 		}).end();
 	}
 
--- a/src/stand-ins/backend-server/call-run.ts
+++ b/src/stand-ins/backend-server/call-run.ts
@@ -11,7 +11,7 @@
 /** The backend server that runs a call. */
 export type CallHost = {
 	/** Headers of every response: the load report and, while draining, the leaving header. */
-	answerHeaders(): Record<string, string>;
+	responseHeaders(): Record<string, string>;
 	/** Time that work takes in the current mode and warm-up state. */
 	scaledWorkMilliseconds(workMilliseconds: number): number;
 	readonly defaultWorkMilliseconds: number;
@@ -62,10 +62,10 @@
 			}, remainingMilliseconds);
 		} else if (workMilliseconds > 0) {
 			this._timer = setTimeout(() => {
-				this._answer(body);
+				this._respond(body);
 			}, workMilliseconds);
 		} else {
-			this._answer(body);
+			this._respond(body);
 		}
 	}
 
@@ -82,19 +82,19 @@
 
 	/** Stops the work at the deadline. The call has run in part, so the response does not declare it as not run. */
 	private _timeOut(): void {
-		this.response.writeHead(504, {...this._host.answerHeaders(), 'content-length': 0});
+		this.response.writeHead(504, {...this._host.responseHeaders(), 'content-length': 0});
 		this._end('timed-out');
 		this.response.end();
 	}
 
-	private _answer(requestBody: Uint8Array): void {
+	private _respond(requestBody: Uint8Array): void {
 		const length = parseNumberHeader(this.request, bytesHeader) ?? this._host.defaultAnswerBytes;
 		const body = new AnswerBody({
 			method: this.request.method ?? 'GET', path: this.path, callId: this.callId, requestDigest: bodyDigest(requestBody),
 		}, length);
 		const range = selectRange(this.request.headers, body.validator, length);
 		this.response.writeHead(range.status, {
-			...this._host.answerHeaders(),
+			...this._host.responseHeaders(),
 			etag: body.validator,
 			'accept-ranges': 'bytes',
 			'content-type': 'application/octet-stream',
--- a/src/stand-ins/backend-server/load-reporter.ts
+++ b/src/stand-ins/backend-server/load-reporter.ts
@@ -14,13 +14,13 @@
 
 	/** Returns the report to send at `now`: the load of the given lag ago, with zero calls if `hidesLoad`. */
 	report(now: Instant, lagMilliseconds: Milliseconds, hidesLoad: boolean): LoadReport {
-		const readLoad = this._readLoad();
-		const shown = lagMilliseconds === 0 ? readLoad : this._delayedReport(readLoad, now, lagMilliseconds);
+		const current = this._readLoad();
+		const shown = lagMilliseconds === 0 ? current : this._delayedReport(current, now, lagMilliseconds);
 		return hidesLoad ? {...shown, inFlight: 0, queued: 0} : shown;
 	}
 
-	private _delayedReport(readLoad: LoadReport, now: Instant, lagMilliseconds: Milliseconds): LoadReport {
-		this._history.push({at: now, report: readLoad});
+	private _delayedReport(current: LoadReport, now: Instant, lagMilliseconds: Milliseconds): LoadReport {
+		this._history.push({at: now, report: current});
 		const index = this._history.findLastIndex(entry => entry.at <= now - lagMilliseconds);
 		this._history = this._history.slice(Math.max(index, 0));
 		return this._history[0]!.report;
--- a/src/stand-ins/caller/address-book.ts
+++ b/src/stand-ins/caller/address-book.ts
@@ -71,9 +71,9 @@
 			return pending;
 		}
 
-		const pendingRequest = this._refresh(service);
-		this._pendingRequests.set(service, pendingRequest);
-		await pendingRequest;
+		const refresh = this._refresh(service);
+		this._pendingRequests.set(service, refresh);
+		await refresh;
 		this._pendingRequests.delete(service);
 	}
 
--- a/src/stand-ins/caller/caller.ts
+++ b/src/stand-ins/caller/caller.ts
@@ -142,11 +142,11 @@
 				...(call.workMilliseconds !== undefined && {[workHeader]: String(call.workMilliseconds)}),
 			},
 		});
-		return this._readAnswer(call, response);
+		return this._readResponse(call, response);
 	}
 
 	/** Checks the response body. undici throws if the body ends early, so a truncated body never counts as an answer. */
-	private async _readAnswer(call: OutgoingCall, response: Dispatcher.ResponseData): Promise<Try> {
+	private async _readResponse(call: OutgoingCall, response: Dispatcher.ResponseData): Promise<Try> {
 		const expected = new AnswerBody({
 			method: call.method, path: call.path, callId: call.callId, requestDigest: bodyDigest(call.body ?? new Uint8Array()),
 		}, call.answerBytes);
