--- a/benchmark/path/measured-target.ts
+++ b/benchmark/path/measured-target.ts
@@ -164,7 +164,7 @@
 		];
 		const accepted = await operator.putAll(resources, 'benchmark', setUpLimitMilliseconds, () => this._program?.exitCode === undefined);
 		if (accepted.isErr()) {
-			return err(failure('not-set-up', `${accepted.error.message}\n${this._program?.lastErrors ?? ''}`));
+			return err(failure('not-set-up', `${accepted.error.message}\n${this._program?.lastErrorLines ?? ''}`));
 		}
 
 		const deadline = performance.now() + setUpLimitMilliseconds;
--- a/src/cli/call-story.test.ts
+++ b/src/cli/call-trace.test.ts
@@ -1,5 +1,5 @@
 import {expect} from 'earl';
-import {traceCall} from './call-story.ts';
+import {traceCall} from './call-trace.ts';
 
 function line(second: number, vm: string, message: string, fields: Readonly<Record<string, unknown>> = {}): string {
 	return JSON.stringify({
--- a/src/cli/commands/delete.ts
+++ b/src/cli/commands/delete.ts
@@ -8,7 +8,7 @@
 } from '../session.ts';
 import {type CommandContext, type CommandDefinition} from '../types.ts';
 import {parseResourceKey} from './parameters.ts';
-import {reportInvalidInput} from './tell-wrong-input.ts';
+import {reportInvalidInput} from './report-invalid-input.ts';
 
 export const deleteCommand: CommandDefinition = {
 	usage: 'delete <kind> <name>',
--- a/src/cli/commands/edit.ts
+++ b/src/cli/commands/edit.ts
@@ -17,7 +17,7 @@
 } from '../session.ts';
 import {type CommandContext, type CommandDefinition} from '../types.ts';
 import {parseResourceKey} from './parameters.ts';
-import {reportInvalidInput} from './tell-wrong-input.ts';
+import {reportInvalidInput} from './report-invalid-input.ts';
 
 export const editCommand: CommandDefinition = {
 	usage: 'edit <kind> <name>',
--- a/src/cli/commands/explain.ts
+++ b/src/cli/commands/explain.ts
@@ -1,5 +1,5 @@
 /** `jaydale explain`: prints the trace of one call from the logs of all VMs. */
-import {traceCall} from '../call-story.ts';
+import {traceCall} from '../call-trace.ts';
 import {exitCodes} from '../exit-codes.ts';
 import {type CommandDefinition} from '../types.ts';
 
--- a/src/cli/commands/get.ts
+++ b/src/cli/commands/get.ts
@@ -13,7 +13,7 @@
 import {
 	parseKind, parseResourceKey, parseChoice, type ParameterFailure,
 } from './parameters.ts';
-import {reportInvalidInput} from './tell-wrong-input.ts';
+import {reportInvalidInput} from './report-invalid-input.ts';
 
 const formats = ['table', 'json', 'toml'] as const;
 type Format = (typeof formats)[number];
--- a/src/cli/commands/history.ts
+++ b/src/cli/commands/history.ts
@@ -1,7 +1,7 @@
 /** `jaydale history`: shows the latest changes, or the outcome of one operation. */
 import {historySchema, operationStateSchema, type ChangeRecord} from '../../node/api/types.ts';
 import {type ApiClient} from '../api-client.ts';
-import {formatChanges} from '../describe-changes.ts';
+import {formatChanges} from '../format-changes.ts';
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {
 	formatOption, withSession, sessionOptions, printResult, reportReadFailure,
--- a/src/cli/commands/log-level.ts
+++ b/src/cli/commands/log-level.ts
@@ -8,7 +8,7 @@
 } from '../session.ts';
 import {type CommandContext, type CommandDefinition} from '../types.ts';
 import {parseChoice} from './parameters.ts';
-import {reportInvalidInput} from './tell-wrong-input.ts';
+import {reportInvalidInput} from './report-invalid-input.ts';
 
 const levels = settingsSchema.shape.log.unwrap().shape.level.unwrap().options;
 
--- a/src/cli/commands/tell-wrong-input.ts
+++ b/src/cli/commands/report-invalid-input.ts
@@ -1,6 +1,6 @@
 /** Reports invalid input. */
 import {type Failure} from '../../common/errors/failure.ts';
-import {formatFailure} from '../describe-for-people.ts';
+import {formatFailure} from '../format-failure.ts';
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {type Terminal} from '../types.ts';
 
--- a/src/cli/commands/serve.ts
+++ b/src/cli/commands/serve.ts
@@ -4,8 +4,8 @@
 import {loadSettings, loadTokens} from '../../node/settings/load-settings.ts';
 import {type ExitCode} from '../exit-codes.ts';
 import {type CommandDefinition} from '../types.ts';
-import {formatFailure} from '../describe-for-people.ts';
-import {reportInvalidInput} from './tell-wrong-input.ts';
+import {formatFailure} from '../format-failure.ts';
+import {reportInvalidInput} from './report-invalid-input.ts';
 
 /** Runs the daemon until its planned stop has finished. Passed in so that the other commands start without loading the daemon. */
 export type RunDaemon = (settings: Settings, tokens: readonly OperatorToken[]) => Promise<ExitCode>;
--- a/src/cli/commands/settings-check.ts
+++ b/src/cli/commands/settings-check.ts
@@ -1,6 +1,6 @@
 /** `jaydale settings check`: reports every fault of a settings file without starting the daemon. */
 import {loadSettings} from '../../node/settings/load-settings.ts';
-import {formatFailure} from '../describe-for-people.ts';
+import {formatFailure} from '../format-failure.ts';
 import {exitCodes} from '../exit-codes.ts';
 import {type CommandDefinition} from '../types.ts';
 
--- a/src/cli/commands/watch.ts
+++ b/src/cli/commands/watch.ts
@@ -1,7 +1,7 @@
 /** `jaydale watch`: shows changes as they come into force. */
 import {watchUpdateSchema, type ChangeRecord, type WatchUpdate} from '../../node/api/types.ts';
 import {type ApiClient} from '../api-client.ts';
-import {formatChanges} from '../describe-changes.ts';
+import {formatChanges} from '../format-changes.ts';
 import {exitCodes, type ExitCode} from '../exit-codes.ts';
 import {
 	formatOption, withSession, sessionOptions, reportReadFailure,
--- a/src/cli/resource-files.ts
+++ b/src/cli/resource-files.ts
@@ -10,7 +10,7 @@
 } from '../common/model/resources.ts';
 import {inputFailures} from '../common/settings/schema-failures.ts';
 import {parseToml} from '../node/settings/load-settings.ts';
-import {formatFailure} from './describe-for-people.ts';
+import {formatFailure} from './format-failure.ts';
 import {type Terminal} from './types.ts';
 
 const fileSchema = z.strictObject({
--- a/src/cli/run.ts
+++ b/src/cli/run.ts
@@ -15,7 +15,7 @@
 import {serveCommand, type RunDaemon} from './commands/serve.ts';
 import {settingsCheckCommand} from './commands/settings-check.ts';
 import {statusCommand} from './commands/status.ts';
-import {reportInvalidInput} from './commands/tell-wrong-input.ts';
+import {reportInvalidInput} from './commands/report-invalid-input.ts';
 import {vmDrainCommand, vmListCommand} from './commands/vm.ts';
 import {watchCommand} from './commands/watch.ts';
 import {exitCodes, type ExitCode} from './exit-codes.ts';
--- a/src/cli/session.ts
+++ b/src/cli/session.ts
@@ -4,7 +4,7 @@
 import {problemTypePrefix} from '../common/protocol/headers.ts';
 import {type Problem} from '../node/api/types.ts';
 import {ApiClient, type ClientFailure} from './api-client.ts';
-import {formatFailure} from './describe-for-people.ts';
+import {formatFailure} from './format-failure.ts';
 import {exitCodes, type ExitCode} from './exit-codes.ts';
 import {type CommandContext, type OptionDefinition, type Terminal} from './types.ts';
 
--- a/src/demo/demo-fleet.ts
+++ b/src/demo/demo-fleet.ts
@@ -150,7 +150,7 @@
 
 	/** The last lines that the daemons wrote to standard error, for a failure report. */
 	daemonErrorLines(): string {
-		return this.vms.map(vm => `${vm.plan.name}: ${vm.program.lastErrors}`).join('\n');
+		return this.vms.map(vm => `${vm.plan.name}: ${vm.program.lastErrorLines}`).join('\n');
 	}
 
 	private async _startVms(): Promise<void> {
--- a/src/proof/faults/proof-fleet.ts
+++ b/src/proof/faults/proof-fleet.ts
@@ -70,7 +70,7 @@
 		}
 
 		const declared = await this.vms[0]!.operator.putAll(this.resources(), 'proof', setUpLimitMilliseconds, () => true);
-		return declared.isErr() ? err(failure('not-set-up', `${declared.error.message}\n${this.vms[0]!.program.lastErrors}`)) : this.waitUntilWell();
+		return declared.isErr() ? err(failure('not-set-up', `${declared.error.message}\n${this.vms[0]!.program.lastErrorLines}`)) : this.waitUntilWell();
 	}
 
 	/** What is declared; a timeout that names the change where one is given. */
@@ -124,7 +124,7 @@
 			let answered = 0;
 			while (answered < wellAnswers) {
 				if (performance.now() > deadline) {
-					return err(failure('not-set-up', `${vm.plan.name} does not answer calls: ${vm.program.lastErrors}`));
+					return err(failure('not-set-up', `${vm.plan.name} does not answer calls: ${vm.program.lastErrorLines}`));
 				}
 
 				const answer = await sendCall({
--- a/src/stand-ins/caller/caller.ts
+++ b/src/stand-ins/caller/caller.ts
@@ -12,7 +12,7 @@
 } from '../../common/protocol/headers.ts';
 import {AnswerBody, bodyDigest} from '../answer-body.ts';
 import {bytesHeader, callIdHeader, workHeader} from '../headers.ts';
-import {AddressCache} from './address-book.ts';
+import {AddressCache} from './address-cache.ts';
 import {type CallResult, type OutgoingCall, type VmAddress} from './types.ts';
 
 /** Settings of a caller. */
--- a/src/stand-ins/child-program.ts
+++ b/src/stand-ins/child-program.ts
@@ -77,7 +77,7 @@
 	}
 
 	/** The last lines that the program wrote to standard error. */
-	get lastErrors(): string {
+	get lastErrorLines(): string {
 		return this._errorLines.join('\n');
 	}
 
@@ -118,7 +118,7 @@
 	private async _waitForReady(program: string): Promise<Result<ReadyLine, ProgramFailure>> {
 		return new Promise(resolve => {
 			const fail = (reason: string): void => {
-				resolve(err(failure('not-started', `${program}: ${reason}: ${this.lastErrors}`)));
+				resolve(err(failure('not-started', `${program}: ${reason}: ${this.lastErrorLines}`)));
 			};
 
 			const timer = setTimeout(fail, startTimeoutMilliseconds, 'no ready line within the time limit');
