--- a/src/cli/resource-reader.ts
+++ b/src/cli/resource-reader.ts
@@ -1,60 +1,60 @@
-/** Reads resources from a VM in pieces, so that a large configuration never holds up its calls. */
+/** Reads resources from a VM in pages, so that a large configuration does not delay the VM's calls. */
 import {err, ok, type Result} from 'neverthrow';
 import {type ResourceKey, type StoredResource} from '../common/model/resources.ts';
 import {resourceListSchema} from '../node/api/types.ts';
 import {type ApiClient, type ClientFailure} from './api-client.ts';
 
-/** As many keys as one request may look up. */
-const keysAtOnce = 50;
+/** Limit of the API for keys in one request. */
+const maxKeysPerRequest = 50;
 
-/** What was read; the version is that of the last piece. */
+/** The resources read. The version is that of the last page. */
 export type ReadResources = {
 	readonly version: number;
 	readonly items: readonly StoredResource[];
-	/** The configuration changed between two pieces. */
-	readonly isMixed: boolean;
+	/** The configuration changed between two pages, so that the resources may be of different versions. */
+	readonly hasMixedVersions: boolean;
 };
 
-/** All resources that a query such as `kind=service` names. */
+/** Reads all resources that match a query such as `kind=service`. */
 export async function readAll(client: ApiClient, query: string): Promise<Result<ReadResources, ClientFailure>> {
-	return readPieces(client, next => next === undefined ? query : `${query}&after=${encodeURIComponent(next)}`);
+	return readPages(client, next => next === undefined ? query : `${query}&after=${encodeURIComponent(next)}`);
 }
 
-/** Those of the keys that are in force. */
+/** Reads the resources in force with the given keys; a key without a resource is skipped. */
 export async function readKeys(client: ApiClient, keys: readonly ResourceKey[]): Promise<Result<ReadResources, ClientFailure>> {
-	let read: ReadResources = {version: 0, items: [], isMixed: false};
-	for (let index = 0; index < keys.length; index += keysAtOnce) {
-		const query = keys.slice(index, index + keysAtOnce).map(key => `key=${encodeURIComponent(key)}`).join('&');
-		const piece = await client.request('GET', `/v1/resources?${query}`, resourceListSchema);
-		if (piece.isErr()) {
-			return err(piece.error);
+	let read: ReadResources = {version: 0, items: [], hasMixedVersions: false};
+	for (let index = 0; index < keys.length; index += maxKeysPerRequest) {
+		const query = keys.slice(index, index + maxKeysPerRequest).map(key => `key=${encodeURIComponent(key)}`).join('&');
+		const page = await client.request('GET', `/v1/resources?${query}`, resourceListSchema);
+		if (page.isErr()) {
+			return err(page.error);
 		}
 
-		read = add(read, piece.value);
+		read = appendPage(read, page.value);
 	}
 
 	return ok(read);
 }
 
-async function readPieces(client: ApiClient, queryFor: (next: string | undefined) => string): Promise<Result<ReadResources, ClientFailure>> {
-	let read: ReadResources = {version: 0, items: [], isMixed: false};
+async function readPages(client: ApiClient, queryFor: (next: string | undefined) => string): Promise<Result<ReadResources, ClientFailure>> {
+	let read: ReadResources = {version: 0, items: [], hasMixedVersions: false};
 	let next: string | undefined;
 	for (;;) {
-		const piece = await client.request('GET', `/v1/resources?${queryFor(next)}`, resourceListSchema);
-		if (piece.isErr()) {
-			return err(piece.error);
+		const page = await client.request('GET', `/v1/resources?${queryFor(next)}`, resourceListSchema);
+		if (page.isErr()) {
+			return err(page.error);
 		}
 
-		read = add(read, piece.value);
-		if (piece.value.next === null) {
+		read = appendPage(read, page.value);
+		if (page.value.next === null) {
 			return ok(read);
 		}
 
-		next = piece.value.next;
+		next = page.value.next;
 	}
 }
 
-function add(read: ReadResources, piece: {readonly version: number; readonly items: readonly StoredResource[]}): ReadResources {
-	const isMixed = read.isMixed || (read.items.length > 0 && read.version !== piece.version);
-	return {version: piece.version, items: [...read.items, ...piece.items], isMixed};
+function appendPage(read: ReadResources, page: {readonly version: number; readonly items: readonly StoredResource[]}): ReadResources {
+	const hasMixedVersions = read.hasMixedVersions || (read.items.length > 0 && read.version !== page.version);
+	return {version: page.version, items: [...read.items, ...page.items], hasMixedVersions};
 }
--- a/src/demo/demo-fleet.ts
+++ b/src/demo/demo-fleet.ts
@@ -1,4 +1,4 @@
-/** The processes of the demo: platform, daemons, backend servers, callers. */
+/** Starts and stops the processes of the demo: platform, daemons, backend servers and callers. */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -10,7 +10,7 @@
 import {ChildProgram} from '../stand-ins/child-program.ts';
 import {freePorts} from '../stand-ins/free-ports.ts';
 import {standInClient} from '../stand-ins/stand-in-client.ts';
-import {allResources, onThisMachine, readExample} from './example-resources.ts';
+import {allResources, toLocalBackendServer, readExample} from './example-resources.ts';
 import {OperatorClient} from './operator-client.ts';
 import {
 	exampleToken, exampleTokensFile, type VmPlan, writeVmSettings,
@@ -19,46 +19,46 @@
 /** Why the demo could not be set up. */
 export type DemoFailure = Failure<'not-set-up'>;
 
-/** A running daemon. */
+/** A running daemon, with a client for its operators' port. */
 export type DemoVm = {readonly plan: VmPlan; readonly program: ChildProgram; readonly operator: OperatorClient};
 
-/** A running backend server, alone or in a group's process. */
+/** A running backend server; several of them may share a process. */
 export type DemoBackendServer = {readonly resource: BackendServer; readonly port: number; readonly program: ChildProgram};
 
 /** A running caller process. */
 export type DemoCaller = {readonly service: Service; readonly port: number; readonly program: ChildProgram};
 
-/** How a service is called. */
-type Traffic = {readonly rate: number; readonly orders: number; readonly work: number; readonly downloadEvery: number};
+/** Load on a service; see the options of src/stand-ins/caller/main.ts. */
+type Traffic = {readonly callsPerSecond: number; readonly orderShare: number; readonly workMilliseconds: number; readonly downloadEvery: number};
 
 const customers = ['baltmor', 'cometa-alta'];
 const dataCentres = ['gdansk-1', 'gdansk-2', 'gdansk-3'];
-const trafficOfService: Readonly<Record<string, Traffic>> = {
+const trafficByService: Readonly<Record<string, Traffic>> = {
 	spectrum: {
-		rate: 150, orders: 0, work: 4, downloadEvery: 0,
+		callsPerSecond: 150, orderShare: 0, workMilliseconds: 4, downloadEvery: 0,
 	},
 	schedules: {
-		rate: 150, orders: 0, work: 4, downloadEvery: 0,
+		callsPerSecond: 150, orderShare: 0, workMilliseconds: 4, downloadEvery: 0,
 	},
 	ordering: {
-		rate: 40, orders: 0.8, work: 10, downloadEvery: 0,
+		callsPerSecond: 40, orderShare: 0.8, workMilliseconds: 10, downloadEvery: 0,
 	},
 	payments: {
-		rate: 40, orders: 0.8, work: 10, downloadEvery: 0,
+		callsPerSecond: 40, orderShare: 0.8, workMilliseconds: 10, downloadEvery: 0,
 	},
 	documents: {
-		rate: 10, orders: 0, work: 5, downloadEvery: 2,
+		callsPerSecond: 10, orderShare: 0, workMilliseconds: 5, downloadEvery: 2,
 	},
 	archive: {
-		rate: 10, orders: 0, work: 5, downloadEvery: 2,
+		callsPerSecond: 10, orderShare: 0, workMilliseconds: 5, downloadEvery: 2,
 	},
 };
 const downloadBytes = 2_000_000;
-const setUpLimitMilliseconds = 30_000;
+const setUpTimeoutMilliseconds = 30_000;
 const pollMilliseconds = 50;
 const keepForMilliseconds = 1000;
 
-/** Owns all processes; a disposal kills what still runs and removes the settings files. */
+/** Owns all processes. Disposal kills those that still run and removes the settings files. */
 export class DemoFleet extends Disposable {
 	readonly vms: DemoVm[] = [];
 	readonly backendServers: DemoBackendServer[] = [];
@@ -74,12 +74,12 @@
 		}));
 	}
 
-	/** Port of the platform's stand-in. */
+	/** Port of the platform's stand-in; 0 before it has started. */
 	get platformPort(): number {
 		return this._platform?.port ?? 0;
 	}
 
-	/** Starts everything but the callers, and waits until the declared resources are in force on every VM. */
+	/** Starts all processes except the callers, and declares the resources. Resolves with their version once it is in force on every VM. */
 	async setUp(): Promise<Result<number, DemoFailure>> {
 		const platform = await this._start('src/stand-ins/platform/main', []);
 		if (platform.isErr()) {
@@ -99,19 +99,19 @@
 
 		const resources = examples.flatMap(example => allResources(example, this.backendServers.map(({resource}) => resource)
 			.filter(resource => example.services.some(service => service.name === resource.service))));
-		const accepted = await this.vms[0]!.operator.putAll(resources, 'the demo\'s services', setUpLimitMilliseconds, () => this.vms.every(vm => vm.program.exitCode === undefined));
+		const accepted = await this.vms[0]!.operator.putAll(resources, 'the demo\'s services', setUpTimeoutMilliseconds, () => this.vms.every(vm => vm.program.exitCode === undefined));
 		if (accepted.isErr()) {
 			return this._fail(accepted.error.message);
 		}
 
-		return this._waitInForce(accepted.value);
+		return this._waitUntilInForce(accepted.value);
 	}
 
 	/** Starts one caller process for each service. */
 	async startCallers(): Promise<Result<void, DemoFailure>> {
 		const seeds = this.vms.map(vm => `127.0.0.1:${vm.plan.callPort}`).join(',');
 		const started = await Promise.all(this.services.map(async service => {
-			const traffic = trafficOfService[service.name]!;
+			const traffic = trafficByService[service.name]!;
 			const program = await this._start('src/stand-ins/caller/main', [
 				'--seeds',
 				seeds,
@@ -120,11 +120,11 @@
 				'--service',
 				service.name,
 				'--rate',
-				String(traffic.rate),
+				String(traffic.callsPerSecond),
 				'--orders',
-				String(traffic.orders),
+				String(traffic.orderShare),
 				'--work',
-				String(traffic.work),
+				String(traffic.workMilliseconds),
 				'--download-every',
 				String(traffic.downloadEvery),
 				'--download-bytes',
@@ -143,14 +143,14 @@
 		return ok();
 	}
 
-	/** Ends the platform's stand-in as a crash would. */
+	/** Kills the platform's stand-in at once, as in a crash. */
 	killPlatform(): void {
 		this._platform?.program.kill();
 	}
 
-	/** What the daemons last wrote for people, for a report of a failure. */
-	daemonErrors(): string {
-		return this.vms.map(vm => `${vm.plan.name}: ${vm.program.lastErrors}`).join('\n');
+	/** The last lines that the daemons wrote to standard error, for a failure report. */
+	daemonErrorLines(): string {
+		return this.vms.map(vm => `${vm.plan.name}: ${vm.program.lastErrorLines}`).join('\n');
 	}
 
 	private async _startVms(): Promise<void> {
@@ -173,13 +173,13 @@
 		}
 	}
 
-	/** A service's backend servers share a process, but for the first: that one leaves in mid-demo and ends. */
+	/** Runs the first backend server of each service in a process of its own, because the demo drains one of these. The others of a service share a process. */
 	private async _startBackendServers(services: readonly Service[], resources: readonly BackendServer[]): Promise<Result<void, DemoFailure>> {
 		const started = await Promise.all(services.map(async service => {
 			const ofService = resources.filter(resource => resource.service === service.name);
-			const alone = await this._startGroup(ofService.slice(0, 1));
-			const rest = await this._startGroup(ofService.slice(1));
-			return alone.andThen(first => rest.map(others => [...first, ...others]));
+			const firstGroup = await this._startGroup(ofService.slice(0, 1));
+			const remainingGroup = await this._startGroup(ofService.slice(1));
+			return firstGroup.andThen(first => remainingGroup.map(others => [...first, ...others]));
 		}));
 		for (const group of started) {
 			if (group.isErr()) {
@@ -196,7 +196,7 @@
 		const slots = resources[0]?.slots ?? 1;
 		const started = await this._start('src/stand-ins/backend-server/main', ['--count', String(resources.length), '--slots', String(slots)]);
 		return started.map(({program, ports}) => resources.map((resource, index) => ({
-			resource: onThisMachine(resource, ports[index]!, dataCentres), port: ports[index]!, program,
+			resource: toLocalBackendServer(resource, ports[index]!, dataCentres), port: ports[index]!, program,
 		})));
 	}
 
@@ -208,8 +208,8 @@
 			.mapErr(cause => failure('not-set-up', cause.message, {cause}));
 	}
 
-	private async _waitInForce(version: number): Promise<Result<number, DemoFailure>> {
-		const deadline = performance.now() + setUpLimitMilliseconds;
+	private async _waitUntilInForce(version: number): Promise<Result<number, DemoFailure>> {
+		const deadline = performance.now() + setUpTimeoutMilliseconds;
 		while (performance.now() < deadline) {
 			const versions = await Promise.all(this.vms.map(async vm => vm.operator.versionInForce()));
 			if (versions.every(inForce => (inForce ?? 0) >= version)) {
@@ -219,10 +219,10 @@
 			await delay(pollMilliseconds);
 		}
 
-		return this._fail(`version ${version} is not in force on every VM in time`);
+		return this._fail(`version ${version} did not come into force on every VM in time`);
 	}
 
 	private _fail(message: string): Result<never, DemoFailure> {
-		return err(failure('not-set-up', `${message}\n${this.daemonErrors()}`));
+		return err(failure('not-set-up', `${message}\n${this.daemonErrorLines()}`));
 	}
 }
--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -1,4 +1,4 @@
-/** `npm run demo -- --seconds N`: the whole path as processes on this machine. */
+/** `npm run demo -- --seconds N`: runs callers, daemons, backend servers and the platform's stand-in as processes on this machine. */
 import process from 'node:process';
 import sade from 'sade';
 import {describeFailure} from '../common/errors/failure.ts';
@@ -37,23 +37,23 @@
 	}
 
 	const fleet = new DemoFleet();
-	const end = (): void => {
+	const stop = (): void => {
 		fleet.dispose();
 		process.exitCode = 130;
 	};
 
-	process.once('SIGINT', end);
-	process.once('SIGTERM', end);
+	process.once('SIGINT', stop);
+	process.once('SIGTERM', stop);
 	const isClean = await runDemo(fleet, options);
 	fleet.dispose();
 	process.exitCode = isClean ? 0 : 1;
-	process.off('SIGINT', end);
-	process.off('SIGTERM', end);
+	process.off('SIGINT', stop);
+	process.off('SIGTERM', stop);
 }
 
 sade('demo', true)
-	.option('--seconds', 'How long calls run', 10)
-	.option('--kill-platform', 'End the platform\'s service in the middle')
+	.option('--seconds', 'Duration of the calls in seconds', 10)
+	.option('--kill-platform', 'Kill the platform\'s service during the run')
 	.example('--seconds 30 --kill-platform')
 	.action(main)
 	.parse(process.argv);
--- a/src/demo/operator-client.ts
+++ b/src/demo/operator-client.ts
@@ -1,4 +1,4 @@
-/** An operator's few requests to the resource API. */
+/** Minimal client of the resource API. */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
 import {err, ok, type Result} from 'neverthrow';
@@ -7,14 +7,14 @@
 import {failure, type Failure} from '../common/errors/failure.ts';
 import {type Resource} from '../common/model/resources.ts';
 
-/** Why the operator got no accepted change. */
+/** Why a change was not accepted. */
 export type OperatorFailure = Failure<'refused' | 'no-answer'>;
 
 const acceptedSchema = z.object({version: z.int()});
 const listSchema = z.object({version: z.int()});
-const pauseMilliseconds = 100;
+const retryMilliseconds = 100;
 
-/** Speaks to one VM's operators' port. */
+/** Sends requests to the operators' port of one VM. */
 export class OperatorClient {
 	private readonly _origin: string;
 	private readonly _token: string;
@@ -25,49 +25,49 @@
 	}
 
 	/**
-	 * Puts all resources together. The same operation is sent until its outcome is known: sent again, it
-	 * is recognised and made once. Gives up early once `isAlive` says that nobody will ever answer.
+	 * Puts all resources in one change, and resolves with its version. The change is sent until its outcome is known, with the
+	 * same operation id, so that it is made only once. Stops early if `isAlive` returns false.
 	 */
-	async putAll(resources: readonly Resource[], note: string, limitMilliseconds: number, isAlive: () => boolean): Promise<Result<number, OperatorFailure>> {
+	async putAll(resources: readonly Resource[], note: string, timeoutMilliseconds: number, isAlive: () => boolean): Promise<Result<number, OperatorFailure>> {
 		const body = JSON.stringify({
 			operation: randomUUID(), note, mutations: resources.map(resource => ({type: 'put', resource})),
 		});
-		const deadline = performance.now() + limitMilliseconds;
-		let last = 'no answer';
+		const deadline = performance.now() + timeoutMilliseconds;
+		let lastResponse = 'no answer';
 		while (performance.now() < deadline && isAlive()) {
-			const answer = await this._ask('POST', '/v1/changes', body);
-			const accepted = acceptedSchema.safeParse(answer?.body);
-			if (answer?.status === 200 && accepted.success) {
+			const response = await this._send('POST', '/v1/changes', body);
+			const accepted = acceptedSchema.safeParse(response?.body);
+			if (response?.status === 200 && accepted.success) {
 				return ok(accepted.data.version);
 			}
 
-			last = answer === undefined ? 'no answer' : `${answer.status} ${JSON.stringify(answer.body)}`;
-			if (answer !== undefined && answer.status < 500) {
-				return err(failure('refused', `the change was refused: ${last}`));
+			lastResponse = response === undefined ? 'no answer' : `${response.status} ${JSON.stringify(response.body)}`;
+			if (response !== undefined && response.status < 500) {
+				return err(failure('refused', `the change was rejected: ${lastResponse}`));
 			}
 
-			await delay(pauseMilliseconds);
+			await delay(retryMilliseconds);
 		}
 
-		return err(failure('no-answer', `the change was not accepted in time: ${last}`));
+		return err(failure('no-answer', `the change was not accepted in time: ${lastResponse}`));
 	}
 
-	/** Version in force on this VM; undefined = it does not say. */
+	/** Version in force on this VM; undefined if the VM does not return one. */
 	async versionInForce(): Promise<number | undefined> {
-		const answer = await this._ask('GET', '/v1/resources');
-		return answer?.status === 200 ? listSchema.safeParse(answer.body).data?.version : undefined;
+		const response = await this._send('GET', '/v1/resources');
+		return response?.status === 200 ? listSchema.safeParse(response.body).data?.version : undefined;
 	}
 
-	private async _ask(method: 'GET' | 'POST', path: string, body?: string): Promise<{status: number; body: unknown} | undefined> {
+	private async _send(method: 'GET' | 'POST', path: string, body?: string): Promise<{status: number; body: unknown} | undefined> {
 		try {
-			const answer = await request(`${this._origin}${path}`, {
+			const response = await request(`${this._origin}${path}`, {
 				method,
 				headers: {authorization: `Bearer ${this._token}`, ...(body !== undefined && {'content-type': 'application/json'})},
 				...(body !== undefined && {body}),
 				signal: AbortSignal.timeout(5000),
 			});
-			const text = await answer.body.text();
-			return {status: answer.statusCode, body: JSON.parse(text)};
+			const text = await response.body.text();
+			return {status: response.statusCode, body: JSON.parse(text)};
 		} catch {
 			return undefined;
 		}
--- a/src/stand-ins/answer-body.ts
+++ b/src/stand-ins/answer-body.ts
@@ -1,7 +1,7 @@
 /**
- * Bodies that can be checked byte for byte by whoever knows the call. Every 64 KiB block of a body
- * is a cut from one table of random bytes at a place that depends on the call, and begins with a stamp
- * of call and block number: a missing, swapped or foreign block shows, and 100 MB cost one copy.
+ * Deterministic response bodies, which a caller can verify byte by byte from the parameters of its call. Each 64 KiB block is
+ * a slice of one table of random bytes at an offset that depends on the call, and begins with a stamp of call and block
+ * number. So a missing, swapped or foreign block is detected, and generating 100 MB costs only one copy.
  */
 import {Buffer} from 'node:buffer';
 import {crc32} from 'node:zlib';
@@ -12,7 +12,7 @@
 const stampBytes = 4;
 const tableSeed = 20_261;
 
-function makeTable(): Buffer {
+function makeRandomTable(): Buffer {
 	const table = Buffer.alloc(blockBytes * 2);
 	const generator = xoroshiro128plus(tableSeed);
 	for (let offset = 0; offset < blockBytes; offset += stampBytes) {
@@ -23,9 +23,9 @@
 	return table;
 }
 
-const table = makeTable();
+const table = makeRandomTable();
 
-/** Digest of a request body, so that an answer proves that the whole of it arrived. */
+/** Digest of a request body. The response depends on it, and so shows that the whole request body arrived. */
 export function bodyDigest(body: Uint8Array): string {
 	return body.length === 0 ? '' : crc32(body).toString(16);
 }
@@ -34,8 +34,8 @@
 	return Math.floor(stamp / (256 ** index)) % 256;
 }
 
-/** What decides the bytes of an answer. */
-export type BodyOrigin = {
+/** Parameters that determine the bytes of a response body. */
+export type BodyInputs = {
 	readonly method: string;
 	/** Path and query on the backend server. */
 	readonly path: string;
@@ -43,26 +43,26 @@
 	readonly requestDigest: string;
 };
 
-/** The body of one call's answer. */
+/** The response body of one call. */
 export class AnswerBody {
 	private readonly _hash: number;
 
-	constructor(origin: BodyOrigin, readonly length: number) {
-		this._hash = crc32(`${origin.method} ${origin.path} ${origin.callId} ${origin.requestDigest} ${length}`);
+	constructor(inputs: BodyInputs, readonly length: number) {
+		this._hash = crc32(`${inputs.method} ${inputs.path} ${inputs.callId} ${inputs.requestDigest} ${length}`);
 	}
 
-	/** Strong validator: equal for equal bytes. */
+	/** Strong validator for `ETag` and `If-Range`: equal for equal bytes. */
 	get validator(): string {
 		return `"${this._hash.toString(16)}-${this.length}"`;
 	}
 
-	/** The bytes from `offset` to the end of its block or of the body. */
+	/** Returns the bytes from `offset` to the end of its block or of the body. */
 	chunk(offset: number): Buffer {
 		const block = Math.floor(offset / blockBytes);
 		const blockStart = block * blockBytes;
 		const size = Math.min(blockBytes, this.length - blockStart);
-		const place = this._hash % blockBytes;
-		const bytes = Buffer.from(table.subarray(place, place + size));
+		const tableOffset = this._hash % blockBytes;
+		const bytes = Buffer.from(table.subarray(tableOffset, tableOffset + size));
 		const stamp = this._stamp(block);
 		for (let index = 0; index < Math.min(stampBytes, size); index++) {
 			bytes[index] = stampByte(stamp, index);
@@ -71,7 +71,7 @@
 		return bytes.subarray(offset - blockStart);
 	}
 
-	/** True if `bytes` are what stands at `offset`. Copies nothing, so that checking costs a caller little. */
+	/** Whether the body contains `bytes` at `offset`. Copies nothing, so that the check costs a caller little. */
 	matches(bytes: Uint8Array, offset: number): boolean {
 		if (offset + bytes.length > this.length) {
 			return false;
@@ -79,10 +79,10 @@
 
 		let position = 0;
 		while (position < bytes.length) {
-			const inBlock = (offset + position) % blockBytes;
-			const size = Math.min(blockBytes - inBlock, bytes.length - position);
+			const offsetInBlock = (offset + position) % blockBytes;
+			const size = Math.min(blockBytes - offsetInBlock, bytes.length - position);
 			const block = Math.floor((offset + position) / blockBytes);
-			if (!this._matchesInBlock(bytes.subarray(position, position + size), block, inBlock)) {
+			if (!this._matchesInBlock(bytes.subarray(position, position + size), block, offsetInBlock)) {
 				return false;
 			}
 
@@ -92,22 +92,22 @@
 		return true;
 	}
 
-	private _matchesInBlock(bytes: Uint8Array, block: number, inBlock: number): boolean {
+	private _matchesInBlock(bytes: Uint8Array, block: number, offsetInBlock: number): boolean {
 		const stamp = this._stamp(block);
 		let position = 0;
-		while (inBlock + position < stampBytes && position < bytes.length) {
-			if (bytes[position] !== stampByte(stamp, inBlock + position)) {
+		while (offsetInBlock + position < stampBytes && position < bytes.length) {
+			if (bytes[position] !== stampByte(stamp, offsetInBlock + position)) {
 				return false;
 			}
 
 			position++;
 		}
 
-		const place = (this._hash % blockBytes) + inBlock;
-		return table.compare(bytes, position, bytes.length, place + position, place + bytes.length) === 0;
+		const tableOffset = (this._hash % blockBytes) + offsetInBlock;
+		return table.compare(bytes, position, bytes.length, tableOffset + position, tableOffset + bytes.length) === 0;
 	}
 
-	/** Blocks of one body differ in the stamp alone; 2^32 of them would be 256 TiB. */
+	/** Blocks of one body differ only in the stamp, which repeats after 2^32 blocks (256 TiB). */
 	private _stamp(block: number): number {
 		return (this._hash + block) % (2 ** 32);
 	}
--- a/src/stand-ins/backend-server/slot-queue.ts
+++ b/src/stand-ins/backend-server/slot-queue.ts
@@ -1,10 +1,10 @@
-/** Slots with a bounded first-come queue, as a small server with a fixed number of workers has. */
+/** Slots with a bounded FIFO queue, as in a server with a fixed number of workers. */
 
-/** Takes a slot or waits for one; each taken slot is given back once. */
+/** Every acquired slot must be released exactly once. */
 export class SlotQueue {
 	readonly slots: number;
 	private readonly _queueLimit: number;
-	private _taken = 0;
+	private _inUse = 0;
 	private readonly _waiting = new Set<() => void>();
 
 	constructor(slots: number, queueLimit: number) {
@@ -12,20 +12,20 @@
 		this._queueLimit = queueLimit;
 	}
 
-	/** Calls that hold a slot. */
-	get taken(): number {
-		return this._taken;
+	/** Number of calls that hold a slot. */
+	get inUse(): number {
+		return this._inUse;
 	}
 
-	/** Calls that wait. */
+	/** Number of calls that wait for a slot. */
 	get queued(): number {
 		return this._waiting.size;
 	}
 
-	/** Runs `start` with a slot now or later; false = shed, never run. */
-	enter(start: () => void): boolean {
-		if (this._taken < this.slots) {
-			this._taken++;
+	/** Acquires a slot and runs `start`, now or once a slot is free. Returns false if the queue is full; `start` then never runs. */
+	acquire(start: () => void): boolean {
+		if (this._inUse < this.slots) {
+			this._inUse++;
 			start();
 			return true;
 		}
@@ -38,16 +38,16 @@
 		return true;
 	}
 
-	/** Leaves the queue; false if it had a slot already. */
-	leaveQueue(start: () => void): boolean {
+	/** Removes `start` from the queue. Returns false if it is not queued. */
+	cancel(start: () => void): boolean {
 		return this._waiting.delete(start);
 	}
 
-	/** Gives a slot back; the first that waits takes it. */
+	/** Releases a slot, and starts the first queued call with it. */
 	release(): void {
 		const [next] = this._waiting;
 		if (next === undefined) {
-			this._taken--;
+			this._inUse--;
 			return;
 		}
 
--- a/src/stand-ins/caller/caller.ts
+++ b/src/stand-ins/caller/caller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller as the brief describes it: asks which addresses to use, connects there itself, checks
- * every byte, and never sends a non-idempotent call again unless it is known not to have run.
+ * A caller as in the brief: requests VM addresses, connects to the VMs directly, checks every byte of a response, and retries
+ * a non-idempotent call only if that call is known not to have run.
  */
 import {setTimeout as delay} from 'node:timers/promises';
 import {Agent, type Dispatcher} from 'undici';
@@ -12,22 +12,22 @@
 } from '../../common/protocol/headers.ts';
 import {AnswerBody, bodyDigest} from '../answer-body.ts';
 import {bytesHeader, callIdHeader, workHeader} from '../headers.ts';
-import {AddressBook} from './address-cache.ts';
+import {AddressCache} from './address-cache.ts';
 import {type CallResult, type OutgoingCall, type VmAddress} from './types.ts';
 
-/** What a caller is made with. */
+/** Settings of a caller. */
 export type CallerSettings = {
-	/** Its name, for fair sharing. */
+	/** Name of the caller, by which VMs share capacity fairly. */
 	readonly name: string;
-	/** `address:port` of some VMs, to ask for addresses. */
+	/** `address:port` of the VMs from which addresses are requested. */
 	readonly seeds: readonly string[];
-	/** Times that one call may be sent in all. */
-	readonly triesLimit: number;
-	/** Connections to each VM. */
+	/** Limit of tries for one call, the first one included. */
+	readonly maxTries: number;
+	/** Limit of connections to each VM. */
 	readonly connectionsPerVm: number;
 };
 
-/** One try: what came of sending the call once. */
+/** Result of sending a call once. */
 type Try = {
 	readonly outcome: CallOutcome | 'lost';
 	readonly status: number | undefined;
@@ -37,8 +37,8 @@
 	readonly detail: string | undefined;
 };
 
-/** Errors of undici that prove that no byte of the call has left. */
-const neverSentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
+/** Error codes of undici that show that no byte of the call was sent. */
+const notConnectedCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 const connectTimeoutMilliseconds = 1000;
 
 function errorCode(error: unknown): string {
@@ -49,9 +49,9 @@
 	return call.method !== 'POST';
 }
 
-/** undici without any interceptor: it sends nothing again by itself. */
+/** Uses undici without interceptors, so that undici does not retry calls itself. */
 export class Caller extends Disposable {
-	readonly addresses: AddressBook;
+	readonly addresses: AddressCache;
 	private readonly _agent: Agent;
 
 	constructor(private readonly _settings: CallerSettings, random: RandomSource) {
@@ -66,94 +66,94 @@
 		this._register(toDisposable(() => {
 			void this._agent.destroy();
 		}));
-		this.addresses = new AddressBook(this._agent, _settings.seeds, random);
+		this.addresses = new AddressCache(this._agent, _settings.seeds, random);
 	}
 
-	/** Makes the call, again where that is safe and worth it, and tells what became of it. */
+	/** Makes a call, and retries it within its deadline where that is safe. The result describes the last try. */
 	async call(call: OutgoingCall): Promise<CallResult> {
 		const deadline = performance.now() + call.timeoutMilliseconds;
-		let last: Try | undefined;
-		for (let tries = 1; tries <= this._settings.triesLimit; tries++) {
-			last = await this._tryOnce(call, deadline - performance.now());
-			const pause = last.retryAfterMilliseconds ?? 0;
-			const remaining = deadline - performance.now();
-			const isSafe = last.outcome === 'not-run' || isIdempotent(call);
-			const isFinal = last.isRight || last.isWrong || !isSafe || (last.status !== undefined && last.status < 500);
-			if (isFinal || tries === this._settings.triesLimit || pause >= remaining) {
-				return this._result(call, last, tries);
+		let lastTry: Try | undefined;
+		for (let tries = 1; tries <= this._settings.maxTries; tries++) {
+			lastTry = await this._tryOnce(call, deadline - performance.now());
+			const pauseMilliseconds = lastTry.retryAfterMilliseconds ?? 0;
+			const remainingMilliseconds = deadline - performance.now();
+			const isSafe = lastTry.outcome === 'not-run' || isIdempotent(call);
+			const isFinal = lastTry.isRight || lastTry.isWrong || !isSafe || (lastTry.status !== undefined && lastTry.status < 500);
+			if (isFinal || tries === this._settings.maxTries || pauseMilliseconds >= remainingMilliseconds) {
+				return this._result(call, lastTry, tries);
 			}
 
-			await delay(pause);
+			await delay(pauseMilliseconds);
 		}
 
-		return this._result(call, last, this._settings.triesLimit);
+		return this._result(call, lastTry, this._settings.maxTries);
 	}
 
-	private _result(call: OutgoingCall, last: Try | undefined, tries: number): CallResult {
+	private _result(call: OutgoingCall, lastTry: Try | undefined, tries: number): CallResult {
 		return {
 			callId: call.callId,
 			method: call.method,
-			outcome: last?.outcome ?? 'not-run',
-			status: last?.status,
-			isRight: last?.isRight ?? false,
-			isWrong: last?.isWrong ?? false,
+			outcome: lastTry?.outcome ?? 'not-run',
+			status: lastTry?.status,
+			isRight: lastTry?.isRight ?? false,
+			isWrong: lastTry?.isWrong ?? false,
 			tries,
-			detail: last?.detail,
+			detail: lastTry?.detail,
 		};
 	}
 
-	private async _tryOnce(call: OutgoingCall, remaining: number): Promise<Try> {
+	private async _tryOnce(call: OutgoingCall, remainingMilliseconds: number): Promise<Try> {
 		const vm = await this.addresses.choose(call.service);
 		if (vm === undefined) {
-			return this._failed('not-run', 'no VM answers which addresses to use');
+			return this._failedTry('not-run', 'no VM returned addresses of the service');
 		}
 
 		try {
-			return await this._send(call, vm, remaining);
+			return await this._send(call, vm, remainingMilliseconds);
 		} catch (error: unknown) {
 			const code = errorCode(error);
 			if (code !== 'ABORT_ERR' && code !== 'UND_ERR_ABORTED') {
 				this.addresses.avoid(vm);
 			}
 
-			return this._failed(neverSentCodes.has(code) ? 'not-run' : 'lost', `${vm.address}:${vm.port}: ${String(error)}`);
+			return this._failedTry(notConnectedCodes.has(code) ? 'not-run' : 'lost', `${vm.address}:${vm.port}: ${String(error)}`);
 		}
 	}
 
-	private _failed(outcome: Try['outcome'], detail: string): Try {
+	private _failedTry(outcome: Try['outcome'], detail: string): Try {
 		return {
 			outcome, detail, status: undefined, isRight: false, isWrong: false, retryAfterMilliseconds: undefined,
 		};
 	}
 
-	private async _send(call: OutgoingCall, vm: VmAddress, remaining: number): Promise<Try> {
+	private async _send(call: OutgoingCall, vm: VmAddress, remainingMilliseconds: number): Promise<Try> {
 		const response = await this._agent.request({
 			origin: `http://${vm.address}:${vm.port}`,
 			path: `${callPathPrefix}${call.service}${call.path}`,
 			method: call.method,
 			body: call.body ?? null,
-			signal: AbortSignal.timeout(Math.max(1, Math.ceil(remaining))),
+			signal: AbortSignal.timeout(Math.max(1, Math.ceil(remainingMilliseconds))),
 			headers: {
 				...call.headers,
 				[callerHeader]: this._settings.name,
 				[callIdHeader]: call.callId,
 				[bytesHeader]: String(call.answerBytes),
-				[timeoutHeader]: String(Math.max(1, Math.floor(remaining))),
+				[timeoutHeader]: String(Math.max(1, Math.floor(remainingMilliseconds))),
 				...(call.workMilliseconds !== undefined && {[workHeader]: String(call.workMilliseconds)}),
 			},
 		});
-		return this._readAnswer(call, response);
+		return this._readResponse(call, response);
 	}
 
-	/** A body that ends early makes undici throw: a fragment is never taken for an answer. */
-	private async _readAnswer(call: OutgoingCall, response: Dispatcher.ResponseData): Promise<Try> {
+	/** Checks the response body. undici throws if the body ends early, so a truncated body never counts as an answer. */
+	private async _readResponse(call: OutgoingCall, response: Dispatcher.ResponseData): Promise<Try> {
 		const expected = new AnswerBody({
 			method: call.method, path: call.path, callId: call.callId, requestDigest: bodyDigest(call.body ?? new Uint8Array()),
 		}, call.answerBytes);
-		const {length, areRight} = await this._readBody(response.body, expected);
+		const {length, isMatch} = await this._readBody(response.body, expected);
 		const outcome = this._outcome(response);
 		const isSuccess = response.statusCode === 200;
-		const isRight = isSuccess && areRight && length === call.answerBytes;
+		const isRight = isSuccess && isMatch && length === call.answerBytes;
 		const retryAfter = Number(response.headers['retry-after']);
 		return {
 			outcome,
@@ -165,15 +165,15 @@
 		};
 	}
 
-	private async _readBody(body: AsyncIterable<Uint8Array>, expected: AnswerBody): Promise<{length: number; areRight: boolean}> {
+	private async _readBody(body: AsyncIterable<Uint8Array>, expected: AnswerBody): Promise<{length: number; isMatch: boolean}> {
 		let length = 0;
-		let areRight = true;
+		let isMatch = true;
 		for await (const bytes of body) {
-			areRight &&= expected.matches(bytes, length);
+			isMatch &&= expected.matches(bytes, length);
 			length += bytes.length;
 		}
 
-		return {length, areRight};
+		return {length, isMatch};
 	}
 
 	private _outcome(response: Dispatcher.ResponseData): CallOutcome {
--- a/src/stand-ins/free-ports.ts
+++ b/src/stand-ins/free-ports.ts
@@ -1,16 +1,16 @@
-/** Ports for programs that need to know their neighbours' before anybody listens. */
+/** Finds free ports for programs whose settings contain each other's ports before any of them listens. */
 import {randomInt} from 'node:crypto';
 import {createServer, type Server} from 'node:net';
 
 /**
- * Below the range from which systems give ports to outgoing connections and to listeners that take any
- * (32768 upwards on Linux): a port of that range, free a moment ago, is taken by somebody else's next
- * connection on a busy machine, and the daemon that was to have it cannot listen.
+ * These ports lie below the ephemeral range (from 32768 on Linux), from which the system assigns ports to outgoing connections
+ * and to listeners on port 0. On a busy machine, another connection may take a free port of that range before the daemon
+ * listens on it.
  */
-const lowestPort = 20_000;
-const highestPort = 32_000;
+const minPort = 20_000;
+const maxPort = 32_000;
 
-async function tryHold(port: number): Promise<Server | undefined> {
+async function tryListen(port: number): Promise<Server | undefined> {
 	return new Promise(resolve => {
 		const server = createServer();
 		server.once('error', () => {
@@ -22,21 +22,21 @@
 	});
 }
 
-async function hold(): Promise<{server: Server; port: number}> {
+async function listenOnRandomPort(): Promise<{server: Server; port: number}> {
 	for (;;) {
-		const port = randomInt(lowestPort, highestPort);
-		const server = await tryHold(port);
+		const port = randomInt(minPort, maxPort);
+		const server = await tryListen(port);
 		if (server !== undefined) {
 			return {server, port};
 		}
 	}
 }
 
-/** Ports that were free a moment ago. All are held at once, so that none is given twice. */
+/** Returns ports that were free during the call. Listens on all of them at once, so that no port is returned twice. */
 export async function freePorts(count: number): Promise<number[]> {
-	const held = await Promise.all(Array.from({length: count}, async () => hold()));
-	await Promise.all(held.map(async ({server}) => new Promise(resolve => {
+	const listeners = await Promise.all(Array.from({length: count}, async () => listenOnRandomPort()));
+	await Promise.all(listeners.map(async ({server}) => new Promise(resolve => {
 		server.close(resolve);
 	})));
-	return held.map(({port}) => port);
+	return listeners.map(({port}) => port);
 }
--- a/src/stand-ins/platform/key-value-store.ts
+++ b/src/stand-ins/platform/key-value-store.ts
@@ -1,17 +1,17 @@
-/** The key-value service's state: revisions, compare-and-swap, leases, tombstones for watches. */
+/** State of the key-value service: revisions, compare-and-swap, leases, and tombstones for watches. */
 import {type Instant, type Milliseconds} from '../../common/model/units.ts';
 import {
 	type Revision, type StoreEntry, type StoreOperation, type StoreReply,
 } from '../../common/platform/types.ts';
 
-/** Values beyond this are refused by the platform. */
-export const valueLimitBytes = 1_048_576;
+/** The platform rejects longer values. */
+export const maxValueBytes = 1_048_576;
 
-type Lease = {readonly milliseconds: Milliseconds; until: Instant; readonly keys: Set<string>};
+type Lease = {readonly milliseconds: Milliseconds; expiresAt: Instant; readonly keys: Set<string>};
 
 type ImmediateOperation = Exclude<StoreOperation, {type: 'watch'}>;
 
-/** No clock of its own: `now` is passed in. Leases lapse whenever it is told the time. */
+/** Has no clock: callers pass the current time. Leases expire in `handle` and `expireLeases`. */
 export class KeyValueStore {
 	private _entries = new Map<string, StoreEntry>();
 	private _deleted = new Map<string, Revision>();
@@ -24,7 +24,7 @@
 		return this._revision;
 	}
 
-	/** A copy that no later write changes: what a lagging replica still knows. */
+	/** Returns an independent copy, which serves as a stale replica. */
 	copy(): KeyValueStore {
 		const copied = new KeyValueStore();
 		copied._entries = new Map(this._entries);
@@ -33,7 +33,7 @@
 		return copied;
 	}
 
-	/** Carries out everything but a watch. A value that is too long answers `undefined`. */
+	/** Executes an operation other than a watch. Returns undefined if the value is too long. */
 	handle(operation: ImmediateOperation, now: Instant): StoreReply | undefined {
 		this.expireLeases(now);
 		switch (operation.type) {
@@ -42,7 +42,7 @@
 			}
 
 			case 'list': {
-				return {type: 'entries', entries: this._under(operation.prefix, 0), revision: this._revision};
+				return {type: 'entries', entries: this._entriesWithPrefix(operation.prefix, 0), revision: this._revision};
 			}
 
 			case 'compare-and-swap': {
@@ -53,14 +53,14 @@
 				return this._delete(operation);
 			}
 
-			// Only a fleet that the platform's store leads writes several keys at once; its store has a stand-in of its own.
+			// Only a fleet led by the platform's store writes several keys at once, and that store has a stand-in of its own.
 			case 'write-all': {
 				return {type: 'unavailable'};
 			}
 
 			case 'grant-lease': {
 				const leaseId = `lease-${this._nextLease++}`;
-				this._leases.set(leaseId, {milliseconds: operation.milliseconds, until: now + operation.milliseconds, keys: new Set()});
+				this._leases.set(leaseId, {milliseconds: operation.milliseconds, expiresAt: now + operation.milliseconds, keys: new Set()});
 				return {type: 'lease', leaseId, milliseconds: operation.milliseconds};
 			}
 
@@ -74,9 +74,9 @@
 		}
 	}
 
-	/** What changed under the prefix after the revision; undefined = nothing yet. */
+	/** Returns the changes under the prefix after the revision; undefined if there are none. */
 	changes(prefix: string, after: Revision): Extract<StoreReply, {type: 'changes'}> | undefined {
-		const entries = this._under(prefix, after);
+		const entries = this._entriesWithPrefix(prefix, after);
 		const deleted = [...this._deleted].filter(([key, revision]) => revision > after && key.startsWith(prefix)).map(([key]) => key);
 		return entries.length + deleted.length === 0
 			? undefined
@@ -85,11 +85,11 @@
 			};
 	}
 
-	/** Removes the keys of leases that have lapsed; true if a key went. */
+	/** Removes expired leases and their keys. Returns whether a key was removed. */
 	expireLeases(now: Instant): boolean {
 		const before = this._revision;
 		for (const [leaseId, lease] of this._leases) {
-			if (lease.until <= now) {
+			if (lease.expiresAt <= now) {
 				this._endLease(leaseId);
 			}
 		}
@@ -97,7 +97,7 @@
 		return this._revision !== before;
 	}
 
-	private _under(prefix: string, after: Revision): StoreEntry[] {
+	private _entriesWithPrefix(prefix: string, after: Revision): StoreEntry[] {
 		return [...this._entries.values()]
 			.filter(entry => entry.revision > after && entry.key.startsWith(prefix))
 			.toSorted((first, second) => first.key < second.key ? -1 : 1);
@@ -105,13 +105,13 @@
 
 	private _compareAndSwap(operation: Extract<StoreOperation, {type: 'compare-and-swap'}>): StoreReply | undefined {
 		const {key, expected, value, leaseId} = operation;
-		if (value.length > valueLimitBytes) {
+		if (value.length > maxValueBytes) {
 			return undefined;
 		}
 
-		const present = this._entries.get(key);
-		if ((present?.revision ?? 0) !== expected) {
-			return {type: 'conflict', entry: present};
+		const current = this._entries.get(key);
+		if ((current?.revision ?? 0) !== expected) {
+			return {type: 'conflict', entry: current};
 		}
 
 		const lease = leaseId === undefined ? undefined : this._leases.get(leaseId);
@@ -119,7 +119,7 @@
 			return {type: 'lease-lost'};
 		}
 
-		// A write without the lease takes the key out of it, or the old lease's end would remove a new value.
+		// Detaches the key from any earlier lease, whose end would otherwise remove the new value.
 		for (const other of this._leases.values()) {
 			other.keys.delete(key);
 		}
@@ -132,9 +132,9 @@
 	}
 
 	private _delete(operation: Extract<StoreOperation, {type: 'delete'}>): StoreReply {
-		const present = this._entries.get(operation.key);
-		if ((present?.revision ?? 0) !== operation.expected) {
-			return {type: 'conflict', entry: present};
+		const current = this._entries.get(operation.key);
+		if ((current?.revision ?? 0) !== operation.expected) {
+			return {type: 'conflict', entry: current};
 		}
 
 		this._remove(operation.key);
@@ -154,7 +154,7 @@
 			return {type: 'lease-lost'};
 		}
 
-		lease.until = now + lease.milliseconds;
+		lease.expiresAt = now + lease.milliseconds;
 		return {type: 'lease', leaseId, milliseconds: lease.milliseconds};
 	}
 
--- a/src/stand-ins/stand-ins.test.ts
+++ b/src/stand-ins/stand-ins.test.ts
@@ -24,20 +24,20 @@
 		store.dispose();
 	});
 
-	async function startPlatform(): Promise<{platform: PlatformStandIn; ask: (operation: StoreOperation) => Promise<unknown>}> {
+	async function startPlatform(): Promise<{platform: PlatformStandIn; send: (operation: StoreOperation) => Promise<unknown>}> {
 		const platform = store.add(new PlatformStandIn());
 		const started = await platform.start();
 		const port = started._unsafeUnwrap();
-		const ask = async (operation: StoreOperation): Promise<unknown> => {
+		const send = async (operation: StoreOperation): Promise<unknown> => {
 			try {
-				const answer = await request(`http://127.0.0.1:${port}/kv`, {method: 'POST', body: JSON.stringify(operation)});
-				return await answer.body.json();
+				const response = await request(`http://127.0.0.1:${port}/kv`, {method: 'POST', body: JSON.stringify(operation)});
+				return await response.body.json();
 			} catch {
 				return 'cut';
 			}
 		};
 
-		return {platform, ask};
+		return {platform, send};
 	}
 
 	async function startBackendServer(settings: ConstructorParameters<typeof BackendServerStandIn>[0] = {}): Promise<{server: BackendServerStandIn; origin: string}> {
@@ -48,69 +48,69 @@
 	}
 
 	describe('platform', () => {
-		it('writes by compare-and-swap, wakes watches, counts calls, forgets the keys of a lapsed lease', async function () {
-			const {platform, ask} = await startPlatform();
-			const waiting = ask({
+		it('writes by compare-and-swap, notifies watches, counts requests, removes the keys of an expired lease', async function () {
+			const {platform, send} = await startPlatform();
+			const waiting = send({
 				type: 'watch', prefix: 'a/', after: 0, milliseconds: 5000,
 			});
 			const log = [
-				await ask({
+				await send({
 					type: 'compare-and-swap', key: 'a/1', expected: 0, value: 'one',
 				}),
 				await waiting,
-				await ask({
+				await send({
 					type: 'compare-and-swap', key: 'a/1', expected: 0, value: 'two',
 				}),
-				await ask({type: 'grant-lease', milliseconds: 60}),
-				await ask({
+				await send({type: 'grant-lease', milliseconds: 60}),
+				await send({
 					type: 'compare-and-swap', key: 'a/2', expected: 0, value: 'leased', leaseId: 'lease-1',
 				}),
-				await ask({
+				await send({
 					type: 'watch', prefix: 'a/', after: 2, milliseconds: 5000,
 				}),
-				await ask({type: 'keep-lease', leaseId: 'lease-1'}),
-				await ask({type: 'list', prefix: 'a/'}),
+				await send({type: 'keep-lease', leaseId: 'lease-1'}),
+				await send({type: 'list', prefix: 'a/'}),
 				platform.counts(),
 			];
 			expect(log).toMatchSnapshot(this);
 		});
 
-		// A user sees a change refused that is in force: the write takes effect, the connection is cut
-		// before the answer, and the writer that takes the cut for "nothing happened" is wrong.
-		it('loses the answer of a write that took effect, answers from an old copy, goes down', async function () {
-			const {platform, ask} = await startPlatform();
+		// Simulates a write that takes effect although its connection breaks before the response. A writer that treats the
+		// broken connection as a failed write would report a change as rejected that is in force.
+		it('loses the response of a successful write, serves reads from a stale copy, cuts connections when down', async function () {
+			const {platform, send} = await startPlatform();
 			platform.setFaults({loseAnswers: 1});
 			const log = [
-				await ask({
+				await send({
 					type: 'compare-and-swap', key: 'k', expected: 0, value: 'taken',
 				}),
-				await ask({type: 'get', key: 'k'}),
+				await send({type: 'get', key: 'k'}),
 			];
 			platform.setFaults({stale: true});
-			await ask({
+			await send({
 				type: 'compare-and-swap', key: 'k', expected: 1, value: 'newer',
 			});
-			log.push(await ask({type: 'get', key: 'k'}));
+			log.push(await send({type: 'get', key: 'k'}));
 			platform.setFaults({stale: false, mode: 'down'});
-			log.push(await ask({
+			log.push(await send({
 				type: 'compare-and-swap', key: 'k', expected: 2, value: 'never',
 			}));
 			platform.setFaults({mode: 'refusing'});
-			log.push(await ask({type: 'get', key: 'k'}));
+			log.push(await send({type: 'get', key: 'k'}));
 			platform.setFaults({mode: 'up'});
-			log.push(await ask({type: 'get', key: 'k'}), await ask({
+			log.push(await send({type: 'get', key: 'k'}), await send({
 				type: 'compare-and-swap', key: 'k', expected: 2, value: 'x'.repeat(1_048_577),
 			}));
 			expect(log.map(entry => typeof entry === 'object' && entry !== null && 'message' in entry ? 'refused' : entry)).toMatchSnapshot(this);
 		});
 
-		it('shows a change of the VM list only after the lag', async () => {
+		it('serves a change of the VM list only after the lag', async () => {
 			const platform = store.add(new PlatformStandIn());
 			const started = await platform.start();
 			const port = started._unsafeUnwrap();
 			const list = async (): Promise<unknown> => {
-				const answer = await request(`http://127.0.0.1:${port}/vms`);
-				return answer.body.json();
+				const response = await request(`http://127.0.0.1:${port}/vms`);
+				return response.body.json();
 			};
 
 			platform.setVms([{address: '127.0.0.1', dataCentre: 'a', state: 'live'}]);
@@ -126,18 +126,18 @@
 	describe('backend server', () => {
 		const headers = (callId: string, work: number, bytes = 20): Record<string, string> => ({[callIdHeader]: callId, [workHeader]: String(work), [bytesHeader]: String(bytes)});
 
-		it('sheds when slots and queue are full, and its record shows that shed calls never ran', async () => {
+		it('sheds calls when slots and queue are full, and counts no start of a shed call', async () => {
 			const {server, origin} = await startBackendServer({slots: 1, queueLimit: 1});
 			const answers = await Promise.all(['a', 'b', 'c'].map(async callId => {
-				const answer = await request(`${origin}/x`, {headers: headers(callId, 30)});
-				await answer.body.dump();
-				return `${answer.statusCode} ${String(answer.headers['jaydale-not-run'])}`;
+				const response = await request(`${origin}/x`, {headers: headers(callId, 30)});
+				await response.body.dump();
+				return `${response.statusCode} ${String(response.headers['jaydale-not-run'])}`;
 			}));
 			expect(answers.toSorted((first, second) => first < second ? -1 : 1)).toEqual(['200 undefined', '200 undefined', '503 not-run']);
 			expect(server.counts()).toLooseEqual({...server.counts(), started: 2, shed: 1});
 		});
 
-		it('stops the work of a caller that has gone or whose time is up', async () => {
+		it('stops the work when the caller disconnects or the deadline passes', async () => {
 			const {server, origin} = await startBackendServer();
 			const control = new AbortController();
 			const gone = request(`${origin}/x`, {headers: headers('gone', 10_000), signal: control.signal}).catch(() => 'aborted');
@@ -157,7 +157,7 @@
 			expect(server.calls().map(call => [call.callId, call.state])).toEqual([['gone', 'cancelled'], ['late', 'timed-out']]);
 		});
 
-		it('answers a range of the same version only, and marks answers while it drains', async () => {
+		it('serves a range only of the same version, and sends the leaving header while it drains', async () => {
 			const {server, origin} = await startBackendServer();
 			const length = blockBytes + 100;
 			const whole = await request(`${origin}/film`, {headers: headers('r', 0, length)});
@@ -168,7 +168,7 @@
 			const other = await request(`${origin}/film`, {headers: {...headers('r', 0, length), range: 'bytes=65000-', 'if-range': '"other"'}});
 			expect(other.statusCode).toEqual(200);
 			await other.body.dump();
-			server.order({isDraining: true});
+			server.update({isDraining: true});
 			const marked = await request(`${origin}/film`, {headers: headers('d', 0)});
 			await marked.body.dump();
 			expect(marked.headers['jaydale-leaving']).toEqual('true');
@@ -177,29 +177,29 @@
 			expect(health.statusCode).toEqual(503);
 		});
 
-		// A caller waits for ever on a connection that the path has forgotten, while new ones work.
-		it('falls silent on open connections, and cuts all of them when a marked call crashes it', async () => {
+		// Simulates a network path that drops the state of open connections: callers get no response there, but new connections work.
+		it('does not respond on open connections when silent, and cuts all connections on a crash', async () => {
 			const {server, origin} = await startBackendServer();
-			const held = new Agent({connections: 1});
+			const keepAliveAgent = new Agent({connections: 1});
 			store.add(toDisposable(() => {
-				void held.destroy();
+				void keepAliveAgent.destroy();
 			}));
-			const first = await request(`${origin}/x`, {headers: headers('first', 0), dispatcher: held});
+			const first = await request(`${origin}/x`, {headers: headers('first', 0), dispatcher: keepAliveAgent});
 			await first.body.dump();
-			server.order({mode: 'silent'});
-			const silent = await request(`${origin}/x`, {headers: headers('silent', 0), dispatcher: held, signal: AbortSignal.timeout(50)}).catch(() => 'silence');
+			server.update({mode: 'silent'});
+			const silent = await request(`${origin}/x`, {headers: headers('silent', 0), dispatcher: keepAliveAgent, signal: AbortSignal.timeout(50)}).catch(() => 'silence');
 			expect(silent).toEqual('silence');
 			const fresh = await request(`${origin}/x`, {headers: headers('fresh', 0)});
 			await fresh.body.dump();
 			expect(fresh.statusCode).toEqual(200);
-			server.order({mode: 'crash-on-mark'});
+			server.update({mode: 'crash-on-mark'});
 			const crashed = await request(`${origin}/x`, {headers: {...headers('crash', 0), [crashHeader]: 'true'}}).catch(() => 'cut');
 			expect(crashed).toEqual('cut');
 		});
 	});
 
 	describe('answer bodies', () => {
-		it('tells a swapped, shortened or foreign block', () => {
+		it('detects a swapped, shortened or foreign block', () => {
 			const origin = {
 				method: 'GET', path: '/a', callId: '1', requestDigest: '',
 			};
@@ -216,11 +216,11 @@
 	});
 
 	describe('caller', () => {
-		const order = (callId: string): OutgoingCall => ({
+		const makeOrder = (callId: string): OutgoingCall => ({
 			callId, service: 's', method: 'POST', path: '/orders', body: Buffer.from('order'), answerBytes: 8, workMilliseconds: 0, timeoutMilliseconds: 2000,
 		});
 
-		/** A VM that answers for addresses, and to calls as told; counts how often each call came. */
+		/** Starts a VM that returns its own address and responds to calls as given; counts the calls received. */
 		async function startVm(answerCall: (count: number) => {status: number; outcome: string} | 'cut'): Promise<{caller: Caller; count: () => number}> {
 			let calls = 0;
 			let port = 0;
@@ -231,36 +231,36 @@
 				}
 
 				calls++;
-				const answer = answerCall(calls);
+				const response = answerCall(calls);
 				incoming.resume().once('end', () => {
-					if (answer === 'cut') {
+					if (response === 'cut') {
 						incoming.socket.destroy();
 						return;
 					}
 
-					outgoing.writeHead(answer.status, {'jaydale-outcome': answer.outcome, 'retry-after': '0'}).end();
+					outgoing.writeHead(response.status, {'jaydale-outcome': response.outcome, 'retry-after': '0'}).end();
 				});
 			}));
 			const listening = await listener.listen();
 			port = listening._unsafeUnwrap();
 			const caller = store.add(new Caller({
-				name: 'c', seeds: [`127.0.0.1:${port}`], triesLimit: 3, connectionsPerVm: 4,
+				name: 'c', seeds: [`127.0.0.1:${port}`], maxTries: 3, connectionsPerVm: 4,
 			}, seededRandom(1)));
 			return {caller, count: () => calls};
 		}
 
-		// A customer is billed twice: the first answer is lost on the way, and the caller sends again.
-		it('sends a non-idempotent call again only after "not run"', async () => {
+		// Guards against an order that runs twice because its caller retries after a lost response.
+		it('retries a non-idempotent call only after the outcome "not-run"', async () => {
 			const cut = await startVm(() => 'cut');
-			const first = await cut.caller.call(order('1'));
+			const first = await cut.caller.call(makeOrder('1'));
 			expect(first.outcome).toEqual('lost');
 			expect(cut.count()).toEqual(1);
 			const unknown = await startVm(() => ({status: 502, outcome: 'unknown'}));
-			const second = await unknown.caller.call(order('2'));
+			const second = await unknown.caller.call(makeOrder('2'));
 			expect(second.outcome).toEqual('unknown');
 			expect(unknown.count()).toEqual(1);
 			const refused = await startVm(() => ({status: 503, outcome: 'not-run'}));
-			const third = await refused.caller.call(order('3'));
+			const third = await refused.caller.call(makeOrder('3'));
 			expect(third.outcome).toEqual('not-run');
 			expect(refused.count()).toEqual(3);
 		});
