--- a/src/proof/bad-input.test.ts
+++ b/src/proof/bad-input.test.ts
@@ -1,4 +1,4 @@
-/** Bad input at the listeners: a clear refusal, nothing lost, nobody else hurt. */
+/** Invalid input from callers, backend servers, peers and files: only the one message or call fails, and later calls are served. */
 import {connect, createServer, type Socket} from 'node:net';
 import {expect} from 'earl';
 import fc from 'fast-check';
@@ -22,7 +22,7 @@
 import {parseToml} from '../node/settings/load-settings.ts';
 
 const seed = 20_261_202;
-const largestCount = 1_000_000;
+const maxCount = 1_000_000;
 const limits = {
 	headBytes: 8192, headMilliseconds: 300, stallMilliseconds: 60_000, idleMilliseconds: 1000, bodyBytes: 100_000, keptBodyBytes: 10_000, connections: 100,
 };
@@ -47,7 +47,7 @@
 	});
 }
 
-/** A listener with one backend server that answers every request by these bytes. */
+/** A listener for callers with one backend server, which sends these bytes as its answer to every request. */
 async function openListener(store: DisposableStore, answer: () => string): Promise<{readonly port: number; readonly heads: string[]}> {
 	const heads: string[] = [];
 	const backendPort = await listen(store, socket => {
@@ -82,7 +82,7 @@
 	return {port: port._unsafeUnwrap(), heads};
 }
 
-/** Sends bytes and gives the status line of the answer, or what became of the connection. */
+/** Sends bytes and returns the status line of the answer, `closed` if the connection ends, or `nothing` after 3 s. */
 async function sendRaw(port: number, bytes: string): Promise<string> {
 	return new Promise(resolve => {
 		const socket = connect(port, '127.0.0.1', () => {
@@ -110,9 +110,9 @@
 	});
 }
 
-async function ask(port: number): Promise<string> {
+async function sendGet(port: number): Promise<string> {
 	const answer = await request(`http://127.0.0.1:${port}/services/reads/x`);
-	const body = await answer.body.text().then(text => text, () => 'BROKEN OFF');
+	const body = await answer.body.text().then(text => text, () => 'broken off');
 	return `${answer.statusCode} ${String(answer.headers['jaydale-outcome'])} ${answer.statusCode === 200 ? body : ''}`.trim();
 }
 
@@ -127,8 +127,8 @@
 		store.dispose();
 	});
 
-	it(`never gets more out of a decoder than a typed failure, seed ${seed}`, () => {
-		// Whatever bytes a peer, the store, a file or a backend server sends, one message is refused.
+	it(`makes no decoder throw or return counts out of range, seed ${seed}`, () => {
+		// Input from a peer, the store, a file or a backend server may be arbitrary bytes; a decoder must only reject it.
 		const name = fc.constantFrom('in-flight', 'queued', 'slots', 'instance', 'other');
 		const value = fc.oneof(fc.nat().map(String), fc.bigInt().map(String), fc.string());
 		const field = fc.tuple(name, value).map(pair => pair.join('='));
@@ -136,7 +136,7 @@
 		fc.assert(fc.property(text, fc.anything({withNullPrototype: true}), (words, anything) => {
 			for (const report of [parseLoadHeader(words, false), parseLoadBody(anything)]) {
 				for (const count of report === undefined ? [] : [report.inFlight, report.queued, report.slots]) {
-					expect(Number.isInteger(count) && count >= 0 && count <= largestCount).toEqual(true);
+					expect(Number.isInteger(count) && count >= 0 && count <= maxCount).toEqual(true);
 				}
 			}
 
@@ -148,7 +148,7 @@
 		}), {seed, numRuns: 2000});
 	});
 
-	it(`passes no internal header and none of one hop on, seed ${seed}`, () => {
+	it(`forwards neither internal headers nor hop-by-hop headers, seed ${seed}`, () => {
 		const name = fc.oneof(fc.constantFrom('jaydale-outcome', 'jaydale-not-run', 'jaydale-load', 'connection', 'transfer-encoding', 'x-one-hop'), fc.constantFrom('accept', 'range', 'x-other'));
 		fc.assert(fc.property(fc.dictionary(name, fc.string()), headers => {
 			const forwarded = forwardedHeaders({...headers, connection: 'close, X-One-Hop'});
@@ -157,45 +157,45 @@
 		}), {seed, numRuns: 1000});
 	});
 
-	it('is refused at the callers\' listener, and the next caller is served', async function () {
+	it('is refused at the callers\' listener, and the next call is served', async function () {
 		const {port, heads} = await openListener(store, () => goodAnswer);
 		const line = 'POST /services/reads/x HTTP/1.1\r\nhost: a\r\n';
 		const answers = {
-			'two lengths': await sendRaw(port, `${line}content-length: 4\r\ncontent-length: 5\r\n\r\nabcde`),
-			'a length and chunks': await sendRaw(port, `${line}content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`),
+			'two different lengths': await sendRaw(port, `${line}content-length: 4\r\ncontent-length: 5\r\n\r\nabcde`),
+			'both a length and chunks': await sendRaw(port, `${line}content-length: 4\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`),
 			'a negative length': await sendRaw(port, `${line}content-length: -1\r\n\r\n`),
 			'an oversized head': await sendRaw(port, `${line}x: ${'y'.repeat(limits.headBytes)}\r\n\r\n`),
 			'an oversized body': await sendRaw(port, `${line}content-length: ${limits.bodyBytes + 1}\r\n\r\n`),
-			'no HTTP at all': await sendRaw(port, '\u0000\u0001\u0002\r\n\r\n'),
-			'a timeout that is no number': await sendRaw(port, `${line}jaydale-timeout-milliseconds: soon\r\ncontent-length: 0\r\n\r\n`),
+			'not HTTP': await sendRaw(port, '\u0000\u0001\u0002\r\n\r\n'),
+			'a timeout that is not a number': await sendRaw(port, `${line}jaydale-timeout-milliseconds: soon\r\ncontent-length: 0\r\n\r\n`),
 			'an unknown service': await sendRaw(port, 'GET /services/nobody/x HTTP/1.1\r\nhost: a\r\n\r\n'),
-			'a service that is no name': await sendRaw(port, 'GET /services/%00/x HTTP/1.1\r\nhost: a\r\n\r\n'),
+			'an invalid service name': await sendRaw(port, 'GET /services/%00/x HTTP/1.1\r\nhost: a\r\n\r\n'),
 		};
 		expect(heads).toEqual([]);
-		const next = await ask(port);
+		const next = await sendGet(port);
 		expect({...answers, next}).toMatchSnapshot(this);
 	});
 
-	it('of a backend server harms its own call only', async function () {
+	it('from a backend server affects only its own call', async function () {
 		const bad = {
-			'two lengths': 'HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-length: 5\r\n\r\nabcde',
-			'a length and chunks': 'HTTP/1.1 200 OK\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n',
+			'two different lengths': 'HTTP/1.1 200 OK\r\ncontent-length: 4\r\ncontent-length: 5\r\n\r\nabcde',
+			'both a length and chunks': 'HTTP/1.1 200 OK\r\ncontent-length: 4\r\ntransfer-encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n',
 			'a body shorter than its length': 'HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhalf',
-			'chunks without an end': 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n',
-			'no HTTP at all': 'good day',
+			'chunks without a last chunk': 'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n',
+			'not HTTP': 'good day',
 			'an oversized head': `HTTP/1.1 200 OK\r\nx: ${'y'.repeat(100_000)}\r\ncontent-length: 0\r\n\r\n`,
 			'a status out of range': 'HTTP/1.1 999999 Odd\r\ncontent-length: 0\r\n\r\n',
-			'forged outcome': 'HTTP/1.1 200 OK\r\njaydale-outcome: not-run\r\ncontent-length: 4\r\n\r\ngood',
-			'a load report that cannot be': 'HTTP/1.1 200 OK\r\njaydale-load: in-flight=-1, queued=9e9, slots=0, instance=\r\ncontent-length: 4\r\n\r\ngood',
+			'a forged outcome header': 'HTTP/1.1 200 OK\r\njaydale-outcome: not-run\r\ncontent-length: 4\r\n\r\ngood',
+			'an invalid load report': 'HTTP/1.1 200 OK\r\njaydale-load: in-flight=-1, queued=9e9, slots=0, instance=\r\ncontent-length: 4\r\n\r\ngood',
 		};
-		let present = goodAnswer;
-		const {port} = await openListener(store, () => present);
+		let currentAnswer = goodAnswer;
+		const {port} = await openListener(store, () => currentAnswer);
 		const answers: Record<string, string> = {};
 		for (const [name, answer] of Object.entries(bad)) {
-			present = answer;
-			answers[name] = await ask(port);
-			present = goodAnswer;
-			expect(await ask(port)).toEqual('200 ran good');
+			currentAnswer = answer;
+			answers[name] = await sendGet(port);
+			currentAnswer = goodAnswer;
+			expect(await sendGet(port)).toEqual('200 ran good');
 		}
 
 		expect(answers).toMatchSnapshot(this);
--- a/src/proof/faults/faults.test.ts
+++ b/src/proof/faults/faults.test.ts
@@ -4,7 +4,7 @@
 import {quickRows, rows} from './rows.ts';
 
 describe('fault matrix', () => {
-	it('keeps the promises in a quick slice with real processes', async () => {
+	it('keeps the guarantees in a few rows with real processes', async () => {
 		const fleet = new ProofFleet();
 		try {
 			const ready = await fleet.setUp();
--- a/src/proof/faults/main.ts
+++ b/src/proof/faults/main.ts
@@ -1,6 +1,6 @@
 /**
- * The fault matrix: `node --import=tsx src/proof/faults/main.ts [--only TEXT] [--json FILE]`. Each row brings its
- * faults about at its step in real processes and is judged by the oracle.
+ * Runs the fault matrix: `node --import=tsx src/proof/faults/main.ts [--only TEXT] [--json FILE]`. Each row injects its
+ * faults into real processes at one step of a call, change or stop; the oracle checks the recorded history.
  */
 import {writeFileSync} from 'node:fs';
 import process from 'node:process';
@@ -46,8 +46,8 @@
 }
 
 sade('faults', true)
-	.option('--only', 'Only rows whose names hold this text')
-	.option('--json', 'Write the results to this file')
+	.option('--only', 'Run only rows whose names contain this text')
+	.option('--json', 'Write the results as JSON to this file')
 	.action(async (options: Options) => {
 		process.exitCode = await main(options);
 	})
--- a/src/proof/faults/proof-caller.ts
+++ b/src/proof/faults/proof-caller.ts
@@ -1,11 +1,11 @@
-/** A caller that sends one call by hand and tells exactly what it got. */
+/** Sends single calls over HTTP, and returns exactly what the caller received. */
 import {createHash} from 'node:crypto';
 import {Buffer} from 'node:buffer';
 import {request, type IncomingMessage} from 'node:http';
 import {callPathPrefix, outcomeHeader, timeoutHeader} from '../../common/protocol/headers.ts';
 import {AnswerBody, bodyDigest} from '../../stand-ins/answer-body.ts';
 import {bytesHeader, callIdHeader, workHeader} from '../../stand-ins/headers.ts';
-import {type HistoryEvent, type ToldOutcome} from '../oracle/types.ts';
+import {type HistoryEvent, type ReportedOutcome} from '../oracle/types.ts';
 
 export type ProofCall = {
 	readonly name: string;
@@ -18,17 +18,17 @@
 	readonly bodyBytes: number;
 };
 
-/** What the caller saw. */
+/** The answer as the caller received it. `hash` is the SHA-256 digest of a whole body in hexadecimal, otherwise empty. */
 export type ProofAnswer = {readonly isWhole: boolean; readonly status: number | undefined; readonly outcome: string | undefined; readonly hash: string};
 
-/** Each call has a path of its own: calls that look alike share the blame for a crash. */
-const pathOf = (call: ProofCall): string => `/run/${call.name}`;
-const giveUpMilliseconds = 20_000;
+/** Each call has a path of its own, since calls with the same fingerprint are suspected together of a crash. */
+const callPath = (call: ProofCall): string => `/run/${call.name}`;
+const answerTimeoutMilliseconds = 20_000;
 
-/** Digest of the body that a run of the call makes. */
+/** SHA-256 digest of the body that a run of the call produces, in hexadecimal. */
 export function expectedHash(call: ProofCall): string {
 	const origin = {
-		method: call.method, path: pathOf(call), callId: call.name, requestDigest: bodyDigest(Buffer.alloc(call.bodyBytes, 'x')),
+		method: call.method, path: callPath(call), callId: call.name, requestDigest: bodyDigest(Buffer.alloc(call.bodyBytes, 'x')),
 	};
 	const body = new AnswerBody(origin, call.answerBytes);
 	const hash = createHash('sha256');
@@ -41,7 +41,7 @@
 	return hash.digest('hex');
 }
 
-/** Sends the call, the body in two halves, on a connection of its own. */
+/** Sends the call on a new connection, its body in two halves 50 ms apart. */
 export async function sendCall(call: ProofCall): Promise<ProofAnswer> {
 	return new Promise(resolve => {
 		const hash = createHash('sha256');
@@ -57,7 +57,7 @@
 			host: '127.0.0.1',
 			port: call.port,
 			method: call.method,
-			path: `${callPathPrefix}${call.service}${pathOf(call)}`,
+			path: `${callPathPrefix}${call.service}${callPath(call)}`,
 			agent: false,
 			headers: {
 				[callIdHeader]: call.name,
@@ -78,7 +78,7 @@
 		const timer = setTimeout(() => {
 			outgoing.destroy();
 			finish(false);
-		}, giveUpMilliseconds);
+		}, answerTimeoutMilliseconds);
 		outgoing.on('error', () => {
 			if (answer === undefined) {
 				finish(false);
@@ -93,9 +93,9 @@
 }
 
 const outcomes = new Set(['ran', 'not-run', 'unknown']);
-const isOutcome = (text: string | undefined): text is ToldOutcome => text !== undefined && outcomes.has(text);
+const isOutcome = (text: string | undefined): text is ReportedOutcome => text !== undefined && outcomes.has(text);
 
-/** The answer as the oracle reads it. A refusal is what does not come from a run. */
+/** The answer as an event of the oracle. Any status other than 200 is a refusal, since runs answer with 200 only. */
 export function answerEvent(call: ProofCall, answer: ProofAnswer, at: number): HistoryEvent {
 	if (!answer.isWhole) {
 		return {type: 'answer-broken', at, call: call.name};
--- a/src/proof/faults/proof-fleet.ts
+++ b/src/proof/faults/proof-fleet.ts
@@ -1,4 +1,4 @@
-/** The processes of the fault matrix: a platform, VMs, and backend servers behind relays. */
+/** The processes of the fault matrix: a stand-in platform, two VMs, and two backend servers behind relays. */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -21,10 +21,10 @@
 export type ProofBackendServer = {readonly name: string; readonly relay: Relay; program: ChildProgram; hasLeft: boolean};
 
 export const serviceName = 'proof';
-const setUpLimitMilliseconds = 20_000;
+const setUpTimeoutMilliseconds = 20_000;
 const pollMilliseconds = 50;
-/** Whole answers in a row after which a VM counts as well. */
-const wellAnswers = 3;
+/** A VM is healthy after this many consecutive answers with status 200. */
+const healthyAnswers = 3;
 
 export class ProofFleet extends Disposable {
 	readonly vms: ProofVm[] = [];
@@ -34,7 +34,7 @@
 	private readonly _vmOptions: readonly string[];
 	private _probes = 0;
 
-	/** Takes options for the VMs' processes, such as a module to load. */
+	/** `vmOptions` are Node options for the VMs' processes, such as a module to load. */
 	constructor(vmOptions: readonly string[] = []) {
 		super();
 		this._vmOptions = vmOptions;
@@ -69,11 +69,11 @@
 			});
 		}
 
-		const declared = await this.vms[0]!.operator.putAll(this.resources(), 'proof', setUpLimitMilliseconds, () => true);
-		return declared.isErr() ? err(failure('not-set-up', `${declared.error.message}\n${this.vms[0]!.program.lastErrors}`)) : this.waitUntilWell();
+		const declared = await this.vms[0]!.operator.putAll(this.resources(), 'proof', setUpTimeoutMilliseconds, () => true);
+		return declared.isErr() ? err(failure('not-set-up', `${declared.error.message}\n${this.vms[0]!.program.lastErrors}`)) : this.waitUntilHealthy();
 	}
 
-	/** What is declared; a timeout that names the change where one is given. */
+	/** The declared resources. A distinct timeout makes the content of each change distinct. */
 	resources(timeoutMilliseconds = 3000): Resource[] {
 		return [
 			resourceSchema.parse({
@@ -85,11 +85,11 @@
 		];
 	}
 
-	/** Starts again what has ended, lets go on what is frozen, ends all faults. */
+	/** Ends all faults, resumes frozen processes, and restarts ended ones. Fails if a VM does not become healthy. */
 	async restore(): Promise<Result<void, Failure<'not-set-up'>>> {
 		await standInClient.setFaults(this.platformPort, {mode: 'up', loseAnswers: 0, stale: false});
 		for (const {relay} of this.backendServers) {
-			relay.disarm();
+			relay.clearTrigger();
 			relay.cutAll();
 		}
 
@@ -102,7 +102,7 @@
 
 		for (const server of this.backendServers) {
 			server.program.signal('SIGCONT');
-			// A process that has begun to leave does not come back: another one does.
+			// A leaving process does not return to service, so it is replaced by a new one.
 			if (server.hasLeft) {
 				await server.program.stop(0);
 			}
@@ -114,17 +114,17 @@
 			}
 		}
 
-		return this.waitUntilWell();
+		return this.waitUntilHealthy();
 	}
 
-	/** Until each VM answers calls again. */
-	async waitUntilWell(): Promise<Result<void, Failure<'not-set-up'>>> {
-		const deadline = performance.now() + setUpLimitMilliseconds;
+	/** Waits until each VM is healthy, for all VMs together up to `setUpTimeoutMilliseconds`. */
+	async waitUntilHealthy(): Promise<Result<void, Failure<'not-set-up'>>> {
+		const deadline = performance.now() + setUpTimeoutMilliseconds;
 		for (const vm of this.vms) {
 			let answered = 0;
-			while (answered < wellAnswers) {
+			while (answered < healthyAnswers) {
 				if (performance.now() > deadline) {
-					return err(failure('not-set-up', `${vm.plan.name} does not answer calls: ${vm.program.lastErrors}`));
+					return err(failure('not-set-up', `${vm.plan.name} does not answer calls with status 200: ${vm.program.lastErrors}`));
 				}
 
 				const answer = await sendCall({
--- a/src/proof/faults/proof-operator.ts
+++ b/src/proof/faults/proof-operator.ts
@@ -1,4 +1,4 @@
-/** An operator who asks once and notes exactly what it is told. */
+/** An operator who sends each request once, without retries, and reports the exact answer. */
 import {request} from 'undici';
 import {z} from 'zod';
 import {type Resource} from '../../common/model/resources.ts';
@@ -7,9 +7,9 @@
 
 export type OperatorAnswer
 	= | {readonly type: 'accepted'; readonly version: number}
-	/** Told that nothing took effect. */
+	/** The answer says that the change did not take effect. */
 		| {readonly type: 'refused'}
-	/** Told that it is not known, or got no answer. */
+	/** The answer says that the outcome is unknown, or there was no answer. */
 		| {readonly type: 'unknown'};
 
 const acceptedSchema = z.object({version: z.int()});
@@ -17,7 +17,7 @@
 const historySchema = z.object({records: z.array(z.object({version: z.int(), operation: z.string()}))});
 const storedSchema = z.object({metadata: z.object({version: z.int()})});
 const problemSchema = z.object({type: z.string()});
-const limitMilliseconds = 15_000;
+const requestTimeoutMilliseconds = 15_000;
 
 export class ProofOperator {
 	private readonly _origin: string;
@@ -27,7 +27,7 @@
 	}
 
 	async change(operation: string, resources: readonly Resource[], expected?: number): Promise<OperatorAnswer> {
-		const answer = await this._ask('POST', '/v1/changes', JSON.stringify({
+		const answer = await this._request('POST', '/v1/changes', JSON.stringify({
 			operation, note: 'proof', mutations: resources.map(resource => ({type: 'put', resource, ...(expected !== undefined && {expected})})),
 		}));
 		const accepted = acceptedSchema.safeParse(answer?.body);
@@ -41,16 +41,16 @@
 
 	/** Version of a service resource. */
 	async serviceVersion(name: string): Promise<number> {
-		const answer = await this._ask('GET', `/v1/resources/service/${name}`);
+		const answer = await this._request('GET', `/v1/resources/service/${name}`);
 		return storedSchema.parse(answer?.body).metadata.version;
 	}
 
-	/** What the VM acts on and by which changes, as its resource API shows it. */
-	async show(vm: string): Promise<HistoryEvent[]> {
-		const listed = await this._ask('GET', '/v1/resources');
-		const told = await this._ask('GET', '/v1/history?limit=20');
+	/** Configuration and change history of the VM, as its operator API returns them, as events of the oracle. */
+	async readState(vm: string): Promise<HistoryEvent[]> {
+		const listed = await this._request('GET', '/v1/resources');
+		const historyAnswer = await this._request('GET', '/v1/history?limit=20');
 		const list = listSchema.safeParse(listed?.body);
-		const past = historySchema.safeParse(told?.body);
+		const history = historySchema.safeParse(historyAnswer?.body);
 		const at = performance.now();
 		return [
 			...(list.success
@@ -58,21 +58,21 @@
 					type: 'vm-acts-on' as const, at, vm, version: list.data.version, content: JSON.stringify(list.data.items),
 				}]
 				: []),
-			...(past.success
-				? past.data.records.map(({version, operation}) => ({
+			...(history.success
+				? history.data.records.map(({version, operation}) => ({
 					type: 'version-seen' as const, at, vm, version, change: operation,
 				}))
 				: []),
 		];
 	}
 
-	private async _ask(method: 'GET' | 'POST', path: string, body?: string): Promise<{status: number; body: unknown} | undefined> {
+	private async _request(method: 'GET' | 'POST', path: string, body?: string): Promise<{status: number; body: unknown} | undefined> {
 		try {
 			const answer = await request(`${this._origin}${path}`, {
 				method,
 				headers: {authorization: `Bearer ${exampleToken}`, ...(body !== undefined && {'content-type': 'application/json'})},
 				...(body !== undefined && {body}),
-				signal: AbortSignal.timeout(limitMilliseconds),
+				signal: AbortSignal.timeout(requestTimeoutMilliseconds),
 			});
 			return {status: answer.statusCode, body: await answer.body.json()};
 		} catch {
--- a/src/proof/faults/relay.ts
+++ b/src/proof/faults/relay.ts
@@ -1,7 +1,7 @@
 /**
- * A plain TCP relay between VMs and one backend server, in the test's own process. It knows just enough of
- * HTTP to see at which step a call stands, and notes each call whose whole request it has passed on: from
- * then on the backend server may run it, whatever becomes of it.
+ * A TCP relay between the VMs and one backend server, in the process of the test. It parses as much HTTP as needed to
+ * detect the step of a call, and records each call whose whole request it has forwarded: from then on the backend
+ * server may run the call, even if the connection is lost.
  */
 import {connect, createServer, type Socket} from 'node:net';
 import {Buffer} from 'node:buffer';
@@ -9,9 +9,9 @@
 import {type CallStep} from './types.ts';
 
 const headEnd = Buffer.from('\r\n\r\n');
-const slowMilliseconds = 700;
+const slowDelayMilliseconds = 700;
 
-/** Length of a message from its head; undefined while the head is not whole. */
+/** Lengths in bytes of the head and the body of a message; undefined while the head is incomplete. */
 function messageLength(bytes: Buffer): {readonly head: number; readonly body: number} | undefined {
 	const end = bytes.indexOf(headEnd);
 	if (end === -1) {
@@ -22,15 +22,15 @@
 	return {head: end + headEnd.length, body: Number(length ?? 0)};
 }
 
-/** One connection, with the call that is on it. */
+/** One relayed connection, with the identity of its current call. */
 export class RelayedConnection {
 	call: string | undefined;
 	private _isSlow = false;
 	private readonly _relay: Relay;
 	private readonly _vm: Socket;
 	private readonly _backend: Socket | undefined;
-	private _sent = Buffer.alloc(0);
-	private _sentBytes = 0;
+	private _request = Buffer.alloc(0);
+	private _requestBytes = 0;
 	private _answer = Buffer.alloc(0);
 	private _answerBytes = 0;
 	private _isSilent = false;
@@ -41,7 +41,7 @@
 		vm.on('error', () => {
 			this.cut();
 		});
-		this._relay.reach('connecting', this);
+		this._relay.handleStep('connecting', this);
 		if (vm.destroyed) {
 			return;
 		}
@@ -51,10 +51,10 @@
 			this.cut();
 		});
 		vm.on('data', chunk => {
-			this._toBackend(chunk);
+			this._forwardToBackend(chunk);
 		});
 		this._backend.on('data', chunk => {
-			this._toVm(chunk);
+			this._forwardToVm(chunk);
 		});
 		vm.on('close', () => {
 			this._backend?.destroy();
@@ -64,18 +64,18 @@
 		});
 	}
 
-	/** Resets both ends. */
+	/** Resets the connections to the VM and to the backend server. */
 	cut(): void {
 		this._vm.resetAndDestroy();
 		this._backend?.resetAndDestroy();
 	}
 
-	/** Passes nothing on any more, and closes nothing. */
+	/** Stops forwarding without closing any connection. */
 	silence(): void {
 		this._isSilent = true;
 	}
 
-	/** Everything takes its time from now on. */
+	/** Delays all bytes from now on by `slowDelayMilliseconds`. */
 	slowDown(): void {
 		this._isSlow = true;
 	}
@@ -86,7 +86,7 @@
 		}
 	}
 
-	private _pass(to: Socket | undefined, bytes: Uint8Array): void {
+	private _write(to: Socket | undefined, bytes: Uint8Array): void {
 		if (this._isSilent || to === undefined || to.destroyed || bytes.length === 0) {
 			return;
 		}
@@ -94,62 +94,62 @@
 		if (this._isSlow) {
 			setTimeout(() => {
 				to.write(bytes);
-			}, slowMilliseconds);
+			}, slowDelayMilliseconds);
 		} else {
 			to.write(bytes);
 		}
 	}
 
-	private _toBackend(chunk: Buffer): void {
-		if (this._sentBytes === 0) {
-			this._sent = Buffer.alloc(0);
+	private _forwardToBackend(chunk: Buffer): void {
+		if (this._requestBytes === 0) {
+			this._request = Buffer.alloc(0);
 		}
 
-		const known = messageLength(this._sent);
-		if (known === undefined) {
-			this._sent = Buffer.concat([this._sent, chunk]);
+		const previousLength = messageLength(this._request);
+		if (previousLength === undefined) {
+			this._request = Buffer.concat([this._request, chunk]);
 		}
 
-		this._sentBytes += chunk.length;
-		const length = messageLength(this._sent);
-		this.call = /\r\nstand-in-call-id: (\S+)/iv.exec(this._sent.toString('latin1', 0, length?.head))?.[1];
-		this._pass(this._backend, chunk);
+		this._requestBytes += chunk.length;
+		const length = messageLength(this._request);
+		this.call = /\r\nstand-in-call-id: (\S+)/iv.exec(this._request.toString('latin1', 0, length?.head))?.[1];
+		this._write(this._backend, chunk);
 		if (length === undefined || this.call === undefined) {
-			this._endRequestIf(length !== undefined);
+			this._resetRequestIf(length !== undefined);
 			return;
 		}
 
-		const whole = length.head + length.body;
-		if (known === undefined) {
-			this._relay.reach('head sent', this);
+		const wholeLength = length.head + length.body;
+		if (previousLength === undefined) {
+			this._relay.handleStep('head sent', this);
 		}
 
-		if (length.body > 0 && this._sentBytes >= length.head + (length.body / 2)) {
-			this._relay.reach('half the body sent', this);
+		if (length.body > 0 && this._requestBytes >= length.head + (length.body / 2)) {
+			this._relay.handleStep('half the body sent', this);
 		}
 
-		if (this._sentBytes >= whole) {
-			this._noteGiven();
-			this._relay.reach('waiting', this);
-			this._endRequestIf(true);
+		if (this._requestBytes >= wholeLength) {
+			this._recordForwarded();
+			this._relay.handleStep('waiting', this);
+			this._resetRequestIf(true);
 		}
 	}
 
-	private _noteGiven(): void {
+	private _recordForwarded(): void {
 		if (!this._isSilent && this._backend?.destroyed === false) {
-			this._relay.given.push({call: this.call!, at: performance.now()});
+			this._relay.forwardedRequests.push({call: this.call!, at: performance.now()});
 		}
 	}
 
-	private _endRequestIf(isWhole: boolean): void {
+	private _resetRequestIf(isWhole: boolean): void {
 		if (isWhole) {
-			this._sentBytes = 0;
+			this._requestBytes = 0;
 			this._answer = Buffer.alloc(0);
 			this._answerBytes = 0;
 		}
 	}
 
-	private _toVm(chunk: Buffer): void {
+	private _forwardToVm(chunk: Buffer): void {
 		if (messageLength(this._answer) === undefined) {
 			this._answer = Buffer.concat([this._answer, chunk]);
 		}
@@ -157,30 +157,30 @@
 		this._answerBytes += chunk.length;
 		const length = messageLength(this._answer);
 		if (length === undefined || this.call === undefined) {
-			this._pass(this._vm, chunk);
+			this._write(this._vm, chunk);
 			return;
 		}
 
 		const isLast = this._answerBytes >= length.head + length.body;
-		this._pass(this._vm, isLast ? chunk.subarray(0, -1) : chunk);
+		this._write(this._vm, isLast ? chunk.subarray(0, -1) : chunk);
 		if (this._answerBytes >= length.head + (length.body / 2)) {
-			this._relay.reach('half the answer', this);
+			this._relay.handleStep('half the answer', this);
 		}
 
 		if (isLast) {
-			this._relay.reach('last byte', this);
-			this._pass(this._vm, chunk.subarray(-1));
+			this._relay.handleStep('last byte', this);
+			this._write(this._vm, chunk.subarray(-1));
 		}
 	}
 }
 
-/** Listens on a port of its own for as long as the test lasts; its backend server may come and go. */
+/** Listens on one port for the whole test, while its backend server may be stopped and restarted. */
 export class Relay extends Disposable {
-	/** Calls whose whole request went to the backend server. */
-	readonly given: Array<{readonly call: string; readonly at: number}> = [];
+	/** Calls whose whole request was forwarded to the backend server, with the time. */
+	readonly forwardedRequests: Array<{readonly call: string; readonly at: number}> = [];
 	readonly backendPort: number;
 	private readonly _connections = new Set<RelayedConnection>();
-	private _armed: {readonly step: CallStep; readonly call: string; readonly act: (connection: RelayedConnection) => void} | undefined;
+	private _trigger: {readonly step: CallStep; readonly call: string; readonly action: (connection: RelayedConnection) => void} | undefined;
 	private _port = 0;
 
 	constructor(backendPort: number) {
@@ -213,24 +213,24 @@
 		});
 	}
 
-	/** Once the call is at the step here, `act` runs. A connection being opened has no call yet. */
-	arm(step: CallStep, call: string, act: (connection: RelayedConnection) => void): void {
-		this._armed = {step, call, act};
+	/** Runs `action` once when the call reaches the step at this relay. The step `connecting` matches any new connection, since it has no call yet. */
+	setTrigger(step: CallStep, call: string, action: (connection: RelayedConnection) => void): void {
+		this._trigger = {step, call, action};
 	}
 
-	disarm(): void {
-		this._armed = undefined;
+	clearTrigger(): void {
+		this._trigger = undefined;
 	}
 
-	reach(step: CallStep, connection: RelayedConnection): void {
-		const armed = this._armed;
-		if (armed?.step === step && (step === 'connecting' || armed.call === connection.call)) {
-			this._armed = undefined;
-			armed.act(connection);
+	handleStep(step: CallStep, connection: RelayedConnection): void {
+		const trigger = this._trigger;
+		if (trigger?.step === step && (step === 'connecting' || trigger.call === connection.call)) {
+			this._trigger = undefined;
+			trigger.action(connection);
 		}
 	}
 
-	/** What is open now passes nothing on any more; new connections do. */
+	/** Silences all open connections. New connections are forwarded. */
 	silenceAll(): void {
 		for (const connection of this._connections) {
 			connection.silence();
--- a/src/proof/faults/row-runner.ts
+++ b/src/proof/faults/row-runner.ts
@@ -1,8 +1,8 @@
-/** Runs rows of the fault matrix, one after the other, on one fleet, and judges each by the oracle. */
+/** Runs rows of the fault matrix one at a time on one fleet, and checks the history of each row with the oracle. */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
-import {judge} from '../oracle/oracle.ts';
-import {type HistoryEvent, usualLimits} from '../oracle/types.ts';
+import {findViolations} from '../oracle/oracle.ts';
+import {type HistoryEvent, defaultLimits} from '../oracle/types.ts';
 import {standInClient} from '../../stand-ins/stand-in-client.ts';
 import {type OperatorAnswer, ProofOperator} from './proof-operator.ts';
 import {
@@ -18,7 +18,7 @@
 
 const frozenMilliseconds = 1500;
 const timeoutMilliseconds = 3000;
-/** Beyond the deadline: a body that has begun may take its time, and a silent one is noticed late. */
+/** Time after the deadline in which a call must end: a body may take longer than the deadline, and a silent one is detected late. */
 const dueSlackMilliseconds = 12_000;
 const stopLimitMilliseconds = 20_000;
 const leavingMilliseconds = 5000;
@@ -26,11 +26,11 @@
 const pollMilliseconds = 100;
 const slowStoreMilliseconds = 400;
 
-const sizes: Readonly<Record<'read' | 'order' | 'download', Pick<ProofCall, 'method' | 'answerBytes' | 'bodyBytes' | 'workMilliseconds'>>> = {
+const callShapes: Readonly<Record<'read' | 'order' | 'download', Pick<ProofCall, 'method' | 'answerBytes' | 'bodyBytes' | 'workMilliseconds'>>> = {
 	read: {
 		method: 'GET', answerBytes: 100_000, bodyBytes: 0, workMilliseconds: 200,
 	},
-	// More than is kept for another attempt, so that half of it can be on its way.
+	// The body is larger than a VM keeps for a retry, so that half of it can be forwarded before the rest arrives.
 	order: {
 		method: 'POST', answerBytes: 100_000, bodyBytes: 200_000, workMilliseconds: 200,
 	},
@@ -44,7 +44,7 @@
 	private _history: HistoryEvent[] = [];
 	private _calls = 0;
 	private _changes = 0;
-	private _isMet = false;
+	private _isStepReached = false;
 	private _notes: string[] = [];
 
 	constructor(fleet: ProofFleet) {
@@ -55,17 +55,17 @@
 		const started = performance.now();
 		this._history = [];
 		this._notes = [];
-		this._isMet = false;
+		this._isStepReached = false;
 		const ready = await this._fleet.restore();
 		if (ready.isErr()) {
 			return {
-				name: row.name, result: 'fail', milliseconds: performance.now() - started, notes: [`not well before the row: ${ready.error.message}`],
+				name: row.name, result: 'fail', milliseconds: performance.now() - started, notes: [`fleet not healthy before the row: ${ready.error.message}`],
 			};
 		}
 
 		await this._runSubject(row);
-		const violations = judge(this._history, usualLimits).map(({promise, message}) => `${promise}: ${message}`);
-		const result = violations.length > 0 ? 'fail' : (this._isMet ? 'pass' : 'not run');
+		const violations = findViolations(this._history, defaultLimits).map(({guarantee, message}) => `${guarantee}: ${message}`);
+		const result = violations.length > 0 ? 'fail' : (this._isStepReached ? 'pass' : 'not run');
 		return {
 			name: row.name, result, milliseconds: performance.now() - started, notes: [...this._notes, ...violations],
 		};
@@ -74,7 +74,7 @@
 	private async _runSubject(row: Row): Promise<void> {
 		switch (row.subject) {
 			case 'call': {
-				await this._runCall(row.kind, row.step, async (server, connection) => this._bringAbout(row.faults, this._fleet.vms[0]!, server, connection));
+				await this._runCall(row.kind, row.step, async (server, connection) => this._injectFaults(row.faults, this._fleet.vms[0]!, server, connection));
 				break;
 			}
 
@@ -99,32 +99,32 @@
 		this._history.push(event);
 	}
 
-	private async _runCall(kind: 'read' | 'order' | 'download', step: CallStep, act: (server: ProofBackendServer, connection: RelayedConnection) => Promise<void>): Promise<ProofAnswer> {
+	private async _runCall(kind: 'read' | 'order' | 'download', step: CallStep, action: (server: ProofBackendServer, connection: RelayedConnection) => Promise<void>): Promise<ProofAnswer> {
 		const call: ProofCall = {
-			name: `call-${++this._calls}-${randomUUID().slice(0, 8)}`, port: this._fleet.vms[0]!.plan.callPort, service: serviceName, timeoutMilliseconds, ...sizes[kind],
+			name: `call-${++this._calls}-${randomUUID().slice(0, 8)}`, port: this._fleet.vms[0]!.plan.callPort, service: serviceName, timeoutMilliseconds, ...callShapes[kind],
 		};
-		const acted: Array<Promise<void>> = [];
+		const actions: Array<Promise<void>> = [];
 		if (step === 'connecting') {
 			await this._dropConnections();
 		}
 
 		for (const server of this._fleet.backendServers) {
-			server.relay.arm(step, call.name, connection => {
-				if (!this._isMet) {
-					this._isMet = true;
-					acted.push(act(server, connection));
+			server.relay.setTrigger(step, call.name, connection => {
+				if (!this._isStepReached) {
+					this._isStepReached = true;
+					actions.push(action(server, connection));
 				}
 			});
 		}
 
 		const sentAt = performance.now();
 		this._record({
-			type: 'call-sent', at: sentAt, call: call.name, vm: 'vm-0', isIdempotent: kind !== 'order', due: sentAt + timeoutMilliseconds + dueSlackMilliseconds,
+			type: 'call-sent', at: sentAt, call: call.name, vm: 'vm-0', isIdempotent: kind !== 'order', dueAt: sentAt + timeoutMilliseconds + dueSlackMilliseconds,
 		});
 		const answer = await sendCall(call);
 		const answeredAt = performance.now();
-		await Promise.all(acted);
-		// A later run of a call that has been answered shows within this time.
+		await Promise.all(actions);
+		// Leaves time for runs that begin after the answer.
 		await delay(pollMilliseconds);
 		this._recordRuns(call);
 		this._record(answerEvent(call, answer, answeredAt));
@@ -132,7 +132,7 @@
 		return answer;
 	}
 
-	/** The next call needs a new connection. */
+	/** Resets all relayed connections, so that the next call opens a new one. */
 	private async _dropConnections(): Promise<void> {
 		for (const {relay} of this._fleet.backendServers) {
 			relay.cutAll();
@@ -141,10 +141,10 @@
 		await delay(pollMilliseconds / 2);
 	}
 
-	/** A request that went whole to a backend server may have run: it counts as a run. */
+	/** Records a run for each request that was forwarded to a backend server completely, since the server may have run the call. */
 	private _recordRuns(call: ProofCall): void {
 		for (const server of this._fleet.backendServers) {
-			for (const {at} of server.relay.given.filter(given => given.call === call.name)) {
+			for (const {at} of server.relay.forwardedRequests.filter(given => given.call === call.name)) {
 				const run = `${server.name}-${at}`;
 				this._record({
 					type: 'run-began', at, run, call: call.name, backendServer: server.name,
@@ -156,13 +156,13 @@
 		}
 	}
 
-	private async _bringAbout(faults: readonly FaultName[], vm: ProofVm, server?: ProofBackendServer, connection?: RelayedConnection): Promise<void> {
-		await Promise.all(faults.map(async fault => this._bringOneAbout(fault, vm, server, connection)));
+	private async _injectFaults(faults: readonly FaultName[], vm: ProofVm, server?: ProofBackendServer, connection?: RelayedConnection): Promise<void> {
+		await Promise.all(faults.map(async fault => this._injectFault(fault, vm, server, connection)));
 	}
 
-	private async _bringOneAbout(fault: FaultName, vm: ProofVm, server: ProofBackendServer | undefined, connection: RelayedConnection | undefined): Promise<void> {
+	private async _injectFault(fault: FaultName, vm: ProofVm, server: ProofBackendServer | undefined, connection: RelayedConnection | undefined): Promise<void> {
 		const {platformPort, backendServers} = this._fleet;
-		const acts: Readonly<Record<FaultName, () => unknown>> = {
+		const injectors: Readonly<Record<FaultName, () => unknown>> = {
 			cut: () => connection?.cut(),
 			'cut everywhere'() {
 				for (const {relay} of backendServers) {
@@ -174,24 +174,24 @@
 			'kill backend server': () => server?.program.kill(),
 			'freeze backend server': async () => this._freeze(server!.name, server!),
 			'kill VM': () => {
-				this._mark(vm.plan.name, fault);
+				this._recordFaultStart(vm.plan.name, fault);
 				vm.program.kill();
 			},
 			'freeze VM': async () => this._freeze(vm.plan.name, vm),
 			'store down': async () => standInClient.setFaults(platformPort, {mode: 'down'}),
 			'store answer lost': async () => standInClient.setFaults(platformPort, {loseAnswers: 1}),
 		};
-		await acts[fault]();
+		await injectors[fault]();
 	}
 
-	private _mark(party: string, fault: string): void {
+	private _recordFaultStart(party: string, fault: string): void {
 		this._record({
 			type: 'fault-began', at: performance.now(), party, fault,
 		});
 	}
 
 	private async _freeze(name: string, party: ProofVm | ProofBackendServer): Promise<void> {
-		this._mark(name, 'frozen');
+		this._recordFaultStart(name, 'frozen');
 		party.program.signal('SIGSTOP');
 		await delay(frozenMilliseconds);
 		party.program.signal('SIGCONT');
@@ -200,7 +200,7 @@
 		});
 	}
 
-	/** A change through the first VM, the fault at its step, then the same change again until its outcome is known. */
+	/** Submits a change through the first VM, injects the faults at the step, and submits the same change once more through the second VM. */
 	private async _runChange(row: Extract<Row, {subject: 'change'}>): Promise<void> {
 		const [first, second] = this._fleet.vms.map(({plan}) => new ProofOperator(plan.operatorPort));
 		const change = `change-${randomUUID()}`;
@@ -213,52 +213,52 @@
 		}
 
 		const fault = async (): Promise<void> => {
-			this._isMet = true;
-			await this._bringAbout(row.faults, vm);
+			this._isStepReached = true;
+			await this._injectFaults(row.faults, vm);
 		};
 
-		const told: OperatorAnswer[] = [];
-		const asked = async (operator: ProofOperator): Promise<void> => {
+		const answers: OperatorAnswer[] = [];
+		const submit = async (operator: ProofOperator): Promise<void> => {
 			const answer = await operator.change(change, this._fleet.resources(timeout));
-			told.push(answer);
+			answers.push(answer);
 			this._recordAnswer(change, answer);
 		};
 
 		if (row.step === 'before the write') {
-			const faulty = fault();
-			await Promise.all([faulty, asked(first!)]);
+			const injection = fault();
+			await Promise.all([injection, submit(first!)]);
 		} else if (row.step === 'after the write') {
-			await asked(first!);
+			await submit(first!);
 			await fault();
 		} else {
-			const waiting = asked(first!);
+			const pending = submit(first!);
 			await delay(slowStoreMilliseconds / 2);
-			await Promise.all([fault(), waiting]);
+			await Promise.all([fault(), pending]);
 		}
 
 		await standInClient.setFaults(this._fleet.platformPort, {mode: 'up', loseAnswers: 0});
 		await this._fleet.restore();
-		await asked(second!);
-		this._notes.push(`told ${told.map(({type}) => type).join(', then ')}`);
-		await this._watchInForce();
+		await submit(second!);
+		this._notes.push(`answers: ${answers.map(({type}) => type).join(', then ')}`);
+		await this._observeActivation();
 	}
 
 	private async _runTwoOperators(): Promise<void> {
 		const operators = this._fleet.vms.map(({plan}) => new ProofOperator(plan.operatorPort));
 		const expected = await operators[0]!.serviceVersion(serviceName);
-		this._isMet = true;
+		this._isStepReached = true;
 		const answers = await Promise.all(operators.map(async operator => {
 			const change = `change-${randomUUID()}`;
 			const answer = await operator.change(change, this._fleet.resources(4000 + (++this._changes)).slice(0, 1), expected);
 			this._recordAnswer(change, answer, `${serviceName} of version ${expected}`);
 			return answer.type;
 		}));
-		this._notes.push(`told ${answers.join(' and ')}`);
+		this._notes.push(`answers: ${answers.join(' and ')}`);
 		if (answers.filter(type => type === 'accepted').length !== 1) {
-			this._notes.push('expected exactly one winner');
+			this._notes.push('expected exactly one accepted change');
 		}
 
-		await this._watchInForce();
+		await this._observeActivation();
 	}
 
 	private _recordAnswer(change: string, answer: OperatorAnswer, replaces?: string): void {
@@ -272,8 +272,8 @@
 		}
 	}
 
-	/** What each VM acts on, for as long as it may take to be in force. */
-	private async _watchInForce(): Promise<void> {
+	/** Records the configuration of each VM until all VMs use the newest accepted version, at most until shortly after the time limit. */
+	private async _observeActivation(): Promise<void> {
 		const from = performance.now();
 		for (const {plan} of this._fleet.vms) {
 			this._record({type: 'vm-serves', at: from, vm: plan.name});
@@ -281,20 +281,20 @@
 
 		const until = from + inForceMilliseconds + (10 * pollMilliseconds);
 		const accepted = Math.max(0, ...this._history.map(event => event.type === 'change-accepted' ? event.version : 0));
-		let behind = this._fleet.vms.length;
-		while (performance.now() < until && behind > 0) {
-			behind = 0;
+		let behindCount = this._fleet.vms.length;
+		while (performance.now() < until && behindCount > 0) {
+			behindCount = 0;
 			for (const {plan} of this._fleet.vms) {
-				const shown = await new ProofOperator(plan.operatorPort).show(plan.name);
-				this._history.push(...shown);
-				const version = Math.max(0, ...shown.map(event => event.type === 'vm-acts-on' ? event.version : 0));
-				behind += version >= accepted ? 0 : 1;
+				const events = await new ProofOperator(plan.operatorPort).readState(plan.name);
+				this._history.push(...events);
+				const version = Math.max(0, ...events.map(event => event.type === 'vm-acts-on' ? event.version : 0));
+				behindCount += version >= accepted ? 0 : 1;
 			}
 
 			await delay(pollMilliseconds);
 		}
 
-		// Without this event the history would end before the time allowed, and nobody would be judged late.
+		// The oracle does not check limits that expire after the last event, so the history must extend beyond the time limit.
 		this._record({type: 'measured', at: until, backendServer: 'end'});
 		this._record({
 			type: 'budget', at: from, backendServer: 'end', calls: 1, windowMilliseconds: 1,
@@ -309,7 +309,7 @@
 			if (party === 'VM') {
 				this._record({type: 'planned-stop-began', at, party: vm.plan.name});
 				const code = await vm.program.stop(stopLimitMilliseconds);
-				this._notes.push(`VM ended with ${code ?? 'no code: it had to be killed'}`);
+				this._notes.push(`VM ended with ${code ?? 'no exit code, as it was killed'}`);
 				return;
 			}
 
@@ -320,7 +320,7 @@
 			await standInClient.orderBackendServer(server.relay.backendPort, {isDraining: true});
 		});
 		if (answer.status !== 200) {
-			this._notes.push('expected the whole answer of a run');
+			this._notes.push('expected a whole answer with status 200');
 		}
 
 		if (stopped !== undefined) {
--- a/src/proof/faults/rows.ts
+++ b/src/proof/faults/rows.ts
@@ -1,4 +1,4 @@
-/** The fault matrix as data. */
+/** Rows of the fault matrix. */
 import {
 	callSteps, changeSteps, type FaultName, type Row,
 } from './types.ts';
@@ -7,7 +7,7 @@
 	'cut', 'silent', 'slow', 'kill backend server', 'freeze backend server', 'kill VM', 'freeze VM', 'store down',
 ];
 
-/** Two at once. */
+/** Pairs of faults that are injected at the same time. */
 const pairsOfCallFaults: ReadonlyArray<readonly FaultName[]> = [
 	['cut everywhere', 'store down'], ['kill backend server', 'store down'], ['freeze VM', 'kill backend server'],
 ];
@@ -15,7 +15,7 @@
 const callFaults = [...singleCallFaults.map(fault => [fault]), ...pairsOfCallFaults];
 
 const callRows: readonly Row[] = (['read', 'order'] as const).flatMap(kind => callSteps
-	// A read has no body to send half of.
+	// A read has no request body.
 	.filter(step => kind === 'order' || step !== 'half the body sent')
 	.flatMap(step => callFaults.map((faults): Row => ({
 		name: `${kind}, ${step}, ${faults.join(' and ')}`, subject: 'call', kind, step, faults,
@@ -41,7 +41,7 @@
 	...callRows, ...downloadRows, ...changeRows, {name: 'two operators at once', subject: 'two operators'}, ...stopRows,
 ];
 
-/** What runs with the other tests: a few rows of each subject. */
+/** Names of the rows that run in the test suite. */
 export const quickRows: readonly string[] = [
 	'order, head sent, cut',
 	'order, half the body sent, kill backend server',
--- a/src/proof/faults/types.ts
+++ b/src/proof/faults/types.ts
@@ -1,6 +1,6 @@
-/** Rows of the fault matrix. */
+/** Types of the fault matrix. */
 
-/** Steps of a call's life, as a relay between a VM and a backend server sees them. */
+/** Steps of a call, as a relay between a VM and a backend server detects them. */
 export const callSteps = ['connecting', 'head sent', 'half the body sent', 'waiting', 'half the answer', 'last byte'] as const;
 export type CallStep = typeof callSteps[number];
 
@@ -14,7 +14,7 @@
 export type FaultName = typeof faultNames[number];
 
 export type Row = {
-	/** What `--only` is compared with. */
+	/** `--only` selects rows whose names contain its text. */
 	readonly name: string;
 } & (
 	| {readonly subject: 'call'; readonly kind: 'read' | 'order' | 'download'; readonly step: CallStep; readonly faults: readonly FaultName[]}
@@ -23,11 +23,11 @@
 	| {readonly subject: 'two operators'}
 );
 
-/** What came of a row. `not run` = the step was never met. */
+/** Result of a row. `not run`: the step was not reached, so no fault was injected. */
 export type RowResult = {
 	readonly name: string;
 	readonly result: 'pass' | 'fail' | 'not run';
 	readonly milliseconds: number;
-	/** What callers or operators were told, and broken promises. */
+	/** Answers to callers or operators, and violations. */
 	readonly notes: readonly string[];
 };
--- a/src/proof/fuzz/broken-promise.ts
+++ b/src/proof/fuzz/broken-promise.ts
@@ -1,14 +1,14 @@
-/** More findings than this are consequences of the first. */
-const mostFindings = 8;
+/** Findings after the first ones are usually consequences of them, so the message is limited to this number. */
+const maxFindings = 8;
 
-/** What fast-check reports as the reason of a failed history. */
-export class BrokenPromise extends Error {
-	override readonly name = 'BrokenPromise';
+/** Fails a history; fast-check reports its message. */
+export class GuaranteeViolationError extends Error {
+	override readonly name = 'GuaranteeViolationError';
 
-	/** Ends the history if anything was found to be wrong. */
+	/** Throws if there are findings. */
 	static throwIfAny(findings: readonly string[]): void {
 		if (findings.length > 0) {
-			throw new BrokenPromise(findings.slice(0, mostFindings).join('\n'));
+			throw new GuaranteeViolationError(findings.slice(0, maxFindings).join('\n'));
 		}
 	}
 }
--- a/src/proof/fuzz/call-commands.ts
+++ b/src/proof/fuzz/call-commands.ts
@@ -1,11 +1,11 @@
-/** Commands of the fuzzed callers, operators and faults over a `CallWorld`. */
+/** Commands on a `CallWorld`: calls, changes by operators, and faults. */
 import {type CallWorld} from './call-world.ts';
 import {type FaultName} from './fault-coverage.ts';
 import {type Treatment} from './fake-backend-server.ts';
 import {type FuzzedCall} from './types.ts';
-import {type Apply, type CommandKind, pick} from './world-command.ts';
+import {type ApplyCommand, type CommandKind, pick} from './world-command.ts';
 
-/** Faults that a `CallWorld` can bring about. */
+/** Faults that a `CallWorld` can cause. */
 export const callFaults: readonly FaultName[] = [
 	'backend server killed',
 	'backend server frozen',
@@ -27,11 +27,11 @@
 	'store answer lost',
 ];
 
-type CallApply = Apply<CallWorld>;
+type CallApply = ApplyCommand<CallWorld>;
 
 type CallKind = Pick<FuzzedCall, 'service' | 'method' | 'timeoutMilliseconds' | 'workMilliseconds' | 'bodyMilliseconds'>;
 
-const kinds: readonly CallKind[] = [
+const callKinds: readonly CallKind[] = [
 	{
 		service: 'orders', method: 'POST', timeoutMilliseconds: 2000, workMilliseconds: 20, bodyMilliseconds: 2,
 	},
@@ -49,10 +49,10 @@
 	},
 ];
 
-function newCall(world: CallWorld, kind: CallKind, more: Partial<FuzzedCall> = {}): FuzzedCall {
+function createCall(world: CallWorld, kind: CallKind, overrides: Partial<FuzzedCall> = {}): FuzzedCall {
 	const name = `call-${world.calls.length + 1}`;
 	return {
-		...kind, name, fingerprint: name, key: undefined, isIdempotent: kind.method === 'GET', isKiller: false, ...more,
+		...kind, name, fingerprint: name, key: undefined, isIdempotent: kind.method === 'GET', crashesBackendServer: false, ...overrides,
 	};
 }
 
@@ -60,7 +60,7 @@
 	for (let sent = 0; sent <= count; sent++) {
 		const target = pick(world.vms, vm + sent);
 		if (target !== undefined) {
-			world.send(target, newCall(world, kinds[kind % kinds.length]!));
+			world.send(target, createCall(world, callKinds[kind % callKinds.length]!));
 		}
 	}
 };
@@ -68,7 +68,7 @@
 const sendWithKey: CallApply = (world, [vm = 0, key = 0]) => {
 	const target = pick(world.vms, vm);
 	if (target !== undefined) {
-		world.send(target, newCall(world, kinds[0]!, {key: `key-${key}`, fingerprint: `key-${key}`}));
+		world.send(target, createCall(world, callKinds[0]!, {key: `key-${key}`, fingerprint: `key-${key}`}));
 	}
 };
 
@@ -76,7 +76,7 @@
 	const target = pick(world.vms, vm);
 	if (target !== undefined) {
 		world.faults.begin('killer call', true);
-		world.send(target, newCall(world, kinds[1]!, {isKiller: true, fingerprint: `killer-${killer % 2}`}));
+		world.send(target, createCall(world, callKinds[1]!, {crashesBackendServer: true, fingerprint: `killer-${killer % 2}`}));
 	}
 };
 
@@ -89,7 +89,7 @@
 	['misleads', 'misleading health'],
 ];
 
-const treat: CallApply = (world, [server = 0, treatment = 0]) => {
+const setTreatment: CallApply = (world, [server = 0, treatment = 0]) => {
 	const [name, fault] = pick(treatments, treatment)!;
 	pick(world.servers, server)!.treatment = name;
 	if (fault !== undefined) {
@@ -126,7 +126,7 @@
 	if (way % 2 === 0) {
 		world.redeclare(pick(world.vms, vm)!, world.servers.indexOf(target), {isLeaving: true}, false);
 	} else if (target.isUp) {
-		world.leave(target);
+		world.startLeaving(target);
 	}
 };
 
@@ -140,7 +140,7 @@
 	const target = pick(world.vms, vm);
 	if (target !== undefined) {
 		world.faults.begin('VM killed', true);
-		world.mark(target.name, 'killed', true);
+		world.recordFault(target.name, 'killed', true);
 		world.history.push({type: 'vm-ended', at: world.timeline.now, vm: target.name});
 		target.kill();
 		world.faults.begin('VM replaced', true);
@@ -154,7 +154,7 @@
 		return;
 	}
 
-	world.mark(target.name, 'paused', !target.isPaused);
+	world.recordFault(target.name, 'paused', !target.isPaused);
 	if (target.isPaused) {
 		target.resume(order % 2 === 0);
 	} else {
@@ -179,12 +179,12 @@
 	world.faults.end('one-way cut');
 };
 
-const silence: CallApply = (world, [vm = 0]) => {
+const silenceConnections: CallApply = (world, [vm = 0]) => {
 	world.faults.begin('silent connections', true);
 	pick(world.vms, vm)?.attempts.silenceConnections();
 };
 
-const troubleStore: CallApply = (world, [kind = 0]) => {
+const disturbStore: CallApply = (world, [kind = 0]) => {
 	const {fleet} = world;
 	const faults: readonly FaultName[] = ['store down', 'store slow', 'store answer lost'];
 	if (kind % 4 === 3) {
@@ -201,64 +201,64 @@
 	fleet.answersToLose += kind % 4 === 2 ? 1 : 0;
 };
 
-/** How often each command is drawn. */
-export const callTable: ReadonlyArray<CommandKind<CallWorld>> = [
+/** Command kinds with their weights. */
+export const callCommandKinds: ReadonlyArray<CommandKind<CallWorld>> = [
 	{
-		label: 'send', weight: 10, most: [9, 9, 12], apply: sendCalls,
+		label: 'send', weight: 10, maxValues: [9, 9, 12], apply: sendCalls,
 	},
 	{
-		label: 'sendWithKey', weight: 4, most: [9, 5], apply: sendWithKey,
+		label: 'sendWithKey', weight: 4, maxValues: [9, 5], apply: sendWithKey,
 	},
 	{
-		label: 'sendKiller', weight: 2, most: [9, 1], apply: sendKiller,
+		label: 'sendKiller', weight: 2, maxValues: [9, 1], apply: sendKiller,
 	},
 	{
-		label: 'callerLeaves', weight: 2, most: [9], apply: (world, [vm = 0]) => pick(world.vms, vm)?.loseCaller(),
+		label: 'callerLeaves', weight: 2, maxValues: [9], apply: (world, [vm = 0]) => pick(world.vms, vm)?.disconnectCaller(),
 	},
 	{
-		label: 'wait', weight: 10, most: [60], apply(world, [milliseconds = 0]) {
+		label: 'wait', weight: 10, maxValues: [60], apply(world, [milliseconds = 0]) {
 			world.advance(milliseconds);
 		},
 	},
 	{
-		label: 'waitLong', weight: 5, most: [9], apply(world, [seconds = 0]) {
+		label: 'waitLong', weight: 5, maxValues: [9], apply(world, [seconds = 0]) {
 			world.advance(1000 * seconds);
 		},
 	},
 	{
-		label: 'treat', weight: 3, most: [7, 5], apply: treat,
+		label: 'treat', weight: 3, maxValues: [7, 5], apply: setTreatment,
 	},
 	{
-		label: 'killServer', weight: 2, most: [7], apply: killServer,
+		label: 'killServer', weight: 2, maxValues: [7], apply: killServer,
 	},
 	{
-		label: 'restartServer', weight: 2, most: [7], apply: restartServer,
+		label: 'restartServer', weight: 2, maxValues: [7], apply: restartServer,
 	},
 	{
-		label: 'freezeServer', weight: 2, most: [7], apply: freezeServer,
+		label: 'freezeServer', weight: 2, maxValues: [7], apply: freezeServer,
 	},
 	{
-		label: 'leaveServer', weight: 2, most: [7, 1, 9], apply: leaveServer,
+		label: 'leaveServer', weight: 2, maxValues: [7, 1, 9], apply: leaveServer,
 	},
 	{
-		label: 'returnServer', weight: 2, most: [7, 1, 9], apply: returnServer,
+		label: 'returnServer', weight: 2, maxValues: [7, 1, 9], apply: returnServer,
 	},
 	{
-		label: 'killVm', weight: 1, most: [9], apply: killVm,
+		label: 'killVm', weight: 1, maxValues: [9], apply: killVm,
 	},
 	{
-		label: 'pauseVm', weight: 3, most: [9, 1], apply: pauseVm,
+		label: 'pauseVm', weight: 3, maxValues: [9, 1], apply: pauseVm,
 	},
 	{
-		label: 'cut', weight: 3, most: [11, 11, 1], apply: cut,
+		label: 'cut', weight: 3, maxValues: [11, 11, 1], apply: cut,
 	},
 	{
-		label: 'healCuts', weight: 1, most: [], apply: healCuts,
+		label: 'healCuts', weight: 1, maxValues: [], apply: healCuts,
 	},
 	{
-		label: 'silence', weight: 2, most: [9], apply: silence,
+		label: 'silence', weight: 2, maxValues: [9], apply: silenceConnections,
 	},
 	{
-		label: 'troubleStore', weight: 3, most: [3], apply: troubleStore,
+		label: 'troubleStore', weight: 3, maxValues: [3], apply: disturbStore,
 	},
 ];
--- a/src/proof/fuzz/call-fuzz.test.ts
+++ b/src/proof/fuzz/call-fuzz.test.ts
@@ -5,13 +5,13 @@
 import {FaultCoverage} from './fault-coverage.ts';
 
 const seed = 20_261_202;
-const histories = 500;
-const longestHistory = 100;
+const historyCount = 500;
+const maxCommands = 100;
 
 describe('fuzzed calls', () => {
-	it(`keep the promises under overlapping faults, seed ${seed}`, () => {
+	it(`keep the guarantees under overlapping faults, seed ${seed}`, () => {
 		const coverage = new FaultCoverage(callFaults);
-		fc.assert(callProperty(coverage, longestHistory), {seed, numRuns: histories, includeErrorInReport: true});
-		expect(coverage.unmet()).toEqual([]);
+		fc.assert(callProperty(coverage, maxCommands), {seed, numRuns: historyCount, includeErrorInReport: true});
+		expect(coverage.uncovered()).toEqual([]);
 	});
 });
--- a/src/proof/fuzz/call-vm.ts
+++ b/src/proof/fuzz/call-vm.ts
@@ -1,39 +1,39 @@
 /**
- * One VM of the fuzzed world: a call engine and a plain adapter that carries its effects out over the
- * fake network. A paused VM does nothing; what comes meanwhile waits, as it would in its sockets.
+ * One VM of a `CallWorld`: a call engine, and an adapter that executes its effects over the simulated network.
+ * A paused VM processes nothing; events that arrive meanwhile are queued, as in its sockets.
  */
 import {
 	type CallEffect, type CallEngine, type CallEvent, type CallId,
 } from '../../common/calls/types.ts';
 import {type HistoryEvent} from '../oracle/types.ts';
-import {FakeAttempts, travelMilliseconds} from './fake-attempts.ts';
+import {FakeAttempts, networkDelayMilliseconds} from './fake-attempts.ts';
 import {
-	type CallSurroundings, type FuzzedCall, type OpenCall, type VmHost,
+	type CallEnvironment, type FuzzedCall, type OpenCall, type VmHost,
 } from './types.ts';
 
-const measureLimitMilliseconds = 1000;
+const loadProbeTimeoutMilliseconds = 1000;
 
-/** Clocks with offsets round differently; a timer must not miss its own instant for that. */
-const rounding = 1e-6;
+/** Adding the clock offset rounds times differently, so that a timer may fire slightly before its due time. */
+const roundingToleranceMilliseconds = 1e-6;
 
 export class CallVm implements VmHost {
 	readonly name: string;
 	readonly engine: CallEngine;
 	readonly attempts: FakeAttempts;
-	/** Its clock starts anywhere. */
+	/** Milliseconds from the simulated time to the clock of this VM. */
 	private readonly _clockOffset: number;
-	private readonly _world: CallSurroundings;
-	private readonly _open = new Map<CallId, OpenCall>();
+	private readonly _environment: CallEnvironment;
+	private readonly _openCalls = new Map<CallId, OpenCall>();
 	private _backlog: Array<() => void> | undefined;
 	private _isEnded = false;
 	private _lastCallId = 0;
 
-	constructor(name: string, engine: CallEngine, clockOffset: number, world: CallSurroundings) {
+	constructor(name: string, engine: CallEngine, clockOffset: number, environment: CallEnvironment) {
 		this.name = name;
 		this.engine = engine;
 		this._clockOffset = clockOffset;
-		this._world = world;
-		this.attempts = new FakeAttempts(this, world);
+		this._environment = environment;
+		this.attempts = new FakeAttempts(this, environment);
 	}
 
 	get isPaused(): boolean {
@@ -45,11 +45,10 @@
 	}
 
 	get now(): number {
-		return this._world.timeline.now + this._clockOffset;
+		return this._environment.timeline.now + this._clockOffset;
 	}
 
-	/** Runs the task now, or when the VM goes on. */
-	whenRunning(task: () => void): void {
+	runOrDefer(task: () => void): void {
 		if (this._isEnded) {
 			return;
 		}
@@ -62,9 +61,9 @@
 	}
 
 	feed(event: CallEvent): void {
-		this.whenRunning(() => {
+		this.runOrDefer(() => {
 			for (const effect of this.engine.handle(event, this.now)) {
-				this._carryOut(effect);
+				this._execute(effect);
 			}
 
 			this._scheduleTick();
@@ -72,13 +71,13 @@
 	}
 
 	openCall(callId: CallId): OpenCall | undefined {
-		return this._open.get(callId);
+		return this._openCalls.get(callId);
 	}
 
 	accept(call: FuzzedCall): void {
-		this.whenRunning(() => {
+		this.runOrDefer(() => {
 			const callId = ++this._lastCallId;
-			this._open.set(callId, {call, received: '', outcome: undefined});
+			this._openCalls.set(callId, {call, received: '', outcome: undefined});
 			this.feed({
 				type: 'call-arrived',
 				request: {
@@ -96,16 +95,16 @@
 		});
 	}
 
-	/** The caller of the latest open call goes away. */
-	loseCaller(): void {
-		const latest = [...this._open].at(-1);
+	/** Disconnects the caller of the latest open call. */
+	disconnectCaller(): void {
+		const latest = [...this._openCalls].at(-1);
 		if (latest === undefined || this._isEnded) {
 			return;
 		}
 
 		const [callId, {call}] = latest;
-		this._world.record({type: 'caller-gone', at: this._world.timeline.now, call: call.name});
-		this._open.delete(callId);
+		this._environment.record({type: 'caller-gone', at: this._environment.timeline.now, call: call.name});
+		this._openCalls.delete(callId);
 		this.feed({type: 'caller-gone', callId});
 	}
 
@@ -113,7 +112,7 @@
 		this._backlog ??= [];
 	}
 
-	/** Goes on: due timers first, as an event loop does, or what waits in its sockets first. */
+	/** Resumes the VM. Runs either due timers first, as an event loop does, or the queued events first. */
 	resume(areTimersFirst: boolean): void {
 		const backlog = this._backlog ?? [];
 		this._backlog = undefined;
@@ -122,24 +121,24 @@
 		}
 
 		for (const task of backlog) {
-			this.whenRunning(task);
+			this.runOrDefer(task);
 		}
 	}
 
-	/** Dies with all its connections: callers see theirs cut. */
+	/** Ends the VM and resets its connections: the answers of all open calls break off. */
 	kill(): void {
 		this._isEnded = true;
 		this._backlog = undefined;
-		for (const {call} of this._open.values()) {
-			this._world.record({type: 'answer-broken', at: this._world.timeline.now, call: call.name});
+		for (const {call} of this._openCalls.values()) {
+			this._environment.record({type: 'answer-broken', at: this._environment.timeline.now, call: call.name});
 		}
 
-		this.attempts.abandon();
+		this.attempts.closeAll();
 	}
 
 	private _tick(): void {
 		const due = this.engine.nextWakeUp();
-		if (due !== undefined && due <= this.now + rounding) {
+		if (due !== undefined && due <= this.now + roundingToleranceMilliseconds) {
 			this.feed({type: 'tick'});
 		}
 	}
@@ -147,15 +146,15 @@
 	private _scheduleTick(): void {
 		const due = this.engine.nextWakeUp();
 		if (due !== undefined) {
-			this._world.timeline.after(Math.max(rounding, due - this.now), () => {
-				this.whenRunning(() => {
+			this._environment.timeline.after(Math.max(roundingToleranceMilliseconds, due - this.now), () => {
+				this.runOrDefer(() => {
 					this._tick();
 				});
 			});
 		}
 	}
 
-	private _carryOut(effect: CallEffect): void {
+	private _execute(effect: CallEffect): void {
 		switch (effect.type) {
 			case 'start-attempt': {
 				this.attempts.start(effect);
@@ -168,41 +167,41 @@
 			}
 
 			case 'pass-on': {
-				this.attempts.passOn(effect.callId, effect.attemptId, effect.outcome);
+				this.attempts.forward(effect.callId, effect.attemptId, effect.outcome);
 				break;
 			}
 
 			case 'break-off': {
-				this.endCall(effect.callId, ({call}) => ({type: 'answer-broken', at: this._world.timeline.now, call: call.name}));
+				this.endCall(effect.callId, ({call}) => ({type: 'answer-broken', at: this._environment.timeline.now, call: call.name}));
 				break;
 			}
 
 			case 'refuse': {
 				this.endCall(effect.callId, ({call}) => ({
-					type: 'answer-whole', at: this._world.timeline.now, call: call.name, body: effect.reason, outcome: effect.outcome, isRefusal: true,
+					type: 'answer-whole', at: this._environment.timeline.now, call: call.name, body: effect.reason, outcome: effect.outcome, isRefusal: true,
 				}));
 				break;
 			}
 
 			case 'measure': {
-				this._measure(effect);
+				this._probeLoad(effect);
 				break;
 			}
 
 			case 'claim-key': {
-				this._world.claimKey(this, `${effect.service}/${effect.key}`, claim => {
+				this._environment.claimKey(this, `${effect.service}/${effect.key}`, claim => {
 					this.feed({type: 'key-claimed', callId: effect.callId, claim: {type: claim}});
 				});
 				break;
 			}
 
 			case 'release-key': {
-				this._world.releaseKey(this, `${effect.service}/${effect.key}`);
+				this._environment.releaseKey(this, `${effect.service}/${effect.key}`);
 				break;
 			}
 
 			case 'tell-peers': {
-				this._world.tellPeers(this, effect.update);
+				this._environment.sendToPeers(this, effect.update);
 				break;
 			}
 
@@ -214,23 +213,23 @@
 	}
 
 	endCall(callId: CallId, end: (open: OpenCall) => HistoryEvent): void {
-		const open = this._open.get(callId);
+		const open = this._openCalls.get(callId);
 		if (open !== undefined) {
-			this._open.delete(callId);
-			this._world.record(end(open));
+			this._openCalls.delete(callId);
+			this._environment.record(end(open));
 		}
 	}
 
-	private _measure(effect: Extract<CallEffect, {type: 'measure'}>): void {
-		const {timeline} = this._world;
-		this._world.record({type: 'measured', at: timeline.now, backendServer: effect.identity});
-		const backendServer = this._world.backendServerAt(effect.port);
+	private _probeLoad(effect: Extract<CallEffect, {type: 'measure'}>): void {
+		const {timeline} = this._environment;
+		this._environment.record({type: 'measured', at: timeline.now, backendServer: effect.identity});
+		const backendServer = this._environment.backendServerAt(effect.port);
 		const isAnswered = backendServer.isUp && !backendServer.isFrozen
-			&& this._world.canPass(this.name, backendServer.name) && this._world.canPass(backendServer.name, this.name);
-		this.after(isAnswered ? 2 * travelMilliseconds : measureLimitMilliseconds, () => {
+			&& this._environment.canPass(this.name, backendServer.name) && this._environment.canPass(backendServer.name, this.name);
+		this.after(isAnswered ? 2 * networkDelayMilliseconds : loadProbeTimeoutMilliseconds, () => {
 			const report = isAnswered ? backendServer.report() : undefined;
 			if (report?.isLeaving === true) {
-				this._world.sawLeaving(this, effect.identity, report.instance);
+				this._environment.reportLeavingSign(this, effect.identity, report.instance);
 			}
 
 			this.feed({type: 'measured', loadProbeId: effect.loadProbeId, report});
@@ -238,8 +237,8 @@
 	}
 
 	after(milliseconds: number, task: () => void): void {
-		this._world.timeline.after(milliseconds, () => {
-			this.whenRunning(task);
+		this._environment.timeline.after(milliseconds, () => {
+			this.runOrDefer(task);
 		});
 	}
 }
--- a/src/proof/fuzz/call-world.ts
+++ b/src/proof/fuzz/call-world.ts
@@ -1,28 +1,28 @@
-/** Several call engines, fake backend servers, a fake fleet and store: one deterministic world from one seed. */
+/** A world for fuzzing call engines: several VMs, fake backend servers, a fake fleet and a fake store. Deterministic for a seed. */
 import {type CallEngine, type CallConfiguration} from '../../common/calls/types.ts';
 import {
 	type BackendServer, type Service, backendServerSchema, serviceSchema,
 } from '../../common/model/resources.ts';
 import {type RandomSource} from '../../common/model/units.ts';
 import {seededRandom} from '../../common/random/random.ts';
-import {judge} from '../oracle/oracle.ts';
+import {findViolations} from '../oracle/oracle.ts';
 import {type HistoryEvent, type Violation} from '../oracle/types.ts';
 import {CallVm} from './call-vm.ts';
-import {type CallSurroundings, type FuzzedCall, type VmHost} from './types.ts';
+import {type CallEnvironment, type FuzzedCall, type VmHost} from './types.ts';
 import {FakeBackendServer} from './fake-backend-server.ts';
 import {type FaultCoverage} from './fault-coverage.ts';
-import {FaultLog} from './fault-log.ts';
+import {ActiveFaults} from './fault-log.ts';
 import {FakeFleet, storeName} from './fake-fleet.ts';
 import {Network} from './network.ts';
 import {Timeline} from './timeline.ts';
 
-/** Makes the engine under test. */
+/** Creates the engine under test. */
 export type CallEngineFactory = (random: RandomSource) => CallEngine;
 
-const mostAttempts = 3;
+const maxAttempts = 3;
 const silenceMilliseconds = 2000;
 const vmCount = 3;
-const serversOfService = 4;
+const serversPerService = 4;
 const firstPort = 9000;
 const settleMilliseconds = 60_000;
 const leavingStopMilliseconds = 8000;
@@ -35,16 +35,16 @@
 	readonly servers: FakeBackendServer[] = [];
 	readonly calls: FuzzedCall[] = [];
 	readonly fleet: FakeFleet;
-	readonly faults: FaultLog;
+	readonly faults: ActiveFaults;
 	private readonly _random: RandomSource;
 	private readonly _leavingIdentities = new Set<string>();
-	private readonly _surroundings: CallSurroundings;
+	private readonly _environment: CallEnvironment;
 	private _isBusyLoop = false;
 	private _vmNumber = 0;
 	private _identityNumber = 0;
 
 	constructor(seed: number, private readonly _makeEngine: CallEngineFactory, coverage: FaultCoverage) {
-		this.faults = new FaultLog(coverage, this.timeline);
+		this.faults = new ActiveFaults(coverage, this.timeline);
 		this._random = seededRandom(seed);
 		const record = (event: HistoryEvent): void => {
 			this.history.push(event);
@@ -57,10 +57,10 @@
 			}));
 		}
 
-		this._surroundings = {
+		this._environment = {
 			timeline: this.timeline,
 			record,
-			chance: () => this._random.next(),
+			random: () => this._random.next(),
 			backendServerAt: port => this.servers[port - firstPort]!,
 			canPass: (from, to) => this.network.canPass(from, to),
 			claimKey: (vm, key, answer) => {
@@ -69,11 +69,11 @@
 			releaseKey: (vm, key) => {
 				this.fleet.releaseKey(vm, key);
 			},
-			tellPeers: (vm, update) => {
-				this.fleet.tellPeers(vm, update);
+			sendToPeers: (vm, update) => {
+				this.fleet.sendToPeers(vm, update);
 			},
-			sawLeaving: (vm, identity, instance) => {
-				this._sawLeaving(vm, identity, instance);
+			reportLeavingSign: (vm, identity, instance) => {
+				this._reportLeavingSign(vm, identity, instance);
 			},
 		};
 		for (let vm = 0; vm < vmCount; vm++) {
@@ -87,17 +87,17 @@
 		return this.fleet.vms;
 	}
 
-	/** A new process under test, with a clock of its own. */
+	/** Starts a new VM with a new engine and a random clock offset. */
 	addVm(): void {
 		const name = `vm-${++this._vmNumber}`;
-		const vm = new CallVm(name, this._makeEngine(seededRandom(this._vmNumber)), Math.floor(this._random.next() * 1e6), this._surroundings);
+		const vm = new CallVm(name, this._makeEngine(seededRandom(this._vmNumber)), Math.floor(this._random.next() * 1e6), this._environment);
 		this.history.push({type: 'vm-serves', at: this.timeline.now, vm: name});
 		this.fleet.add(vm);
 	}
 
-	mark(party: string, fault: string, isBegin: boolean): void {
+	recordFault(party: string, fault: string, isBeginning: boolean): void {
 		this.history.push({
-			type: isBegin ? 'fault-began' : 'fault-ended', at: this.timeline.now, party, fault,
+			type: isBeginning ? 'fault-began' : 'fault-ended', at: this.timeline.now, party, fault,
 		});
 	}
 
@@ -110,8 +110,8 @@
 			vm: vm.name,
 			isIdempotent: call.isIdempotent,
 			...(call.key !== undefined && {key: `${call.service}/${call.key}`}),
-			// The deadline bounds the head. A body takes its time, may fall silent, and be taken up again twice.
-			due: this.timeline.now + (mostAttempts * (call.timeoutMilliseconds + call.bodyMilliseconds + silenceMilliseconds)),
+			// The deadline of the call applies to the head only. The body takes more time, and may fall silent and be resumed twice.
+			dueAt: this.timeline.now + (maxAttempts * (call.timeoutMilliseconds + call.bodyMilliseconds + silenceMilliseconds)),
 		});
 		vm.accept(call);
 	}
@@ -120,7 +120,7 @@
 		this._isBusyLoop ||= !this.timeline.advance(milliseconds);
 	}
 
-	/** An operator's change of a backend server; a new identity is a deletion and a new declaration. */
+	/** Changes the declaration of a backend server as an operator. A new identity stands for deletion and a new declaration. */
 	redeclare(through: CallVm, position: number, change: Partial<BackendServer>, isNewIdentity: boolean): void {
 		const backendServers = new Map(this.fleet.configuration.backendServers);
 		const [identity, declared] = [...backendServers].find(([, {port}]) => port === firstPort + position)!;
@@ -142,8 +142,8 @@
 		}
 	}
 
-	/** The process begins to leave by its own word, and stops some time later. */
-	leave(server: FakeBackendServer): void {
+	/** The backend server reports that it leaves, and stops after `leavingStopMilliseconds`. */
+	startLeaving(server: FakeBackendServer): void {
 		server.isLeaving = true;
 		const {instance} = server.report();
 		this.timeline.after(leavingStopMilliseconds, () => {
@@ -161,18 +161,18 @@
 		}
 	}
 
-	/** Ends every fault, waits, and gives all that was wrong. */
+	/** Ends all faults, advances the time, and returns all violations, unfinished calls and busy loops. */
 	settle(): readonly string[] {
 		this.heal();
 		this.advance(settleMilliseconds);
-		const left = this.vms.flatMap(vm => {
+		const unfinished = this.vms.flatMap(vm => {
 			const {callsInFlight, callsQueued} = vm.engine.status(vm.now);
-			return callsInFlight + callsQueued === 0 ? [] : [`${vm.name} still holds ${callsInFlight} calls in flight and ${callsQueued} queued`];
+			return callsInFlight + callsQueued === 0 ? [] : [`${vm.name} still has ${callsInFlight} calls in flight and ${callsQueued} queued`];
 		});
 		return [
-			...judge(this.history).map(({promise, at, message}: Violation) => `${promise} at ${at}: ${message}`),
-			...left,
-			...(this._isBusyLoop ? ['an engine asks for ticks without end'] : []),
+			...findViolations(this.history).map(({guarantee, at, message}: Violation) => `${guarantee} at ${at}: ${message}`),
+			...unfinished,
+			...(this._isBusyLoop ? ['an engine schedules ticks in a busy loop'] : []),
 		];
 	}
 
@@ -181,7 +181,7 @@
 		this.fleet.isStoreUp = true;
 		this.fleet.isStoreSlow = false;
 		for (const vm of this.vms.filter(({isPaused}) => isPaused)) {
-			this.mark(vm.name, 'paused', false);
+			this.recordFault(vm.name, 'paused', false);
 			vm.resume(true);
 		}
 
@@ -196,22 +196,22 @@
 		this.faults.clear();
 	}
 
-	/** A party of the network by number: VMs first, then the store, then backend servers. */
+	/** Network party by number (modulo the count): VMs first, then the store, then backend servers. */
 	party(position: number): string {
 		const parties = [...this.vms.map(({name}) => name), storeName, ...this.servers.map(({name}) => name)];
 		return parties[position % parties.length]!;
 	}
 
-	private _sawLeaving(vm: VmHost, identity: string, instance: string): void {
+	private _reportLeavingSign(vm: VmHost, identity: string, instance: string): void {
 		const declared = this.fleet.configuration.backendServers.get(identity);
-		// The word of a process that has gone is no sign for the one that runs now.
+		// A sign of an earlier process does not apply to the process that runs now.
 		const isPresent = declared !== undefined && this.servers[declared.port - firstPort]!.report().instance === instance;
 		if (isPresent && !this._leavingIdentities.has(identity)) {
 			this._leavingIdentities.add(identity);
 			this.history.push({type: 'leaving-began', at: this.timeline.now, backendServer: identity});
 		}
 
-		this.fleet.saw(vm, {identity, instance});
+		this.fleet.addLeavingSign(vm, {identity, instance});
 	}
 
 	private _firstConfiguration(): CallConfiguration {
@@ -225,7 +225,7 @@
 		})]));
 		const backendServers = new Map<string, BackendServer>();
 		for (const service of serviceNames) {
-			for (let server = 0; server < serversOfService; server++) {
+			for (let server = 0; server < serversPerService; server++) {
 				const declared = backendServerSchema.parse({
 					kind: 'backend-server', name: `${service}-${server}`, service, address: '127.0.0.1', port: firstPort + backendServers.size, dataCentre: 'north',
 				});
--- a/src/proof/fuzz/fake-attempts.ts
+++ b/src/proof/fuzz/fake-attempts.ts
@@ -1,8 +1,8 @@
-/** The attempts of one fuzzed VM on their way over connections that can be cut or fall silent. */
+/** Attempts of one fuzzed VM over simulated connections, which can be cut or fall silent. */
 import {type AttemptFailure, type CallEffect, type CallId} from '../../common/calls/types.ts';
-import {type ToldOutcome} from '../oracle/types.ts';
+import {type ReportedOutcome} from '../oracle/types.ts';
 import {type AnswerHead, type FakeBackendServer} from './fake-backend-server.ts';
-import {type CallSurroundings, type FuzzedCall, type VmHost} from './types.ts';
+import {type CallEnvironment, type FuzzedCall, type VmHost} from './types.ts';
 
 type Start = Extract<CallEffect, {type: 'start-attempt'}>;
 type Connection = {readonly port: number; readonly openedAt: number; isSilent: boolean};
@@ -13,31 +13,31 @@
 	connection: Connection | undefined;
 	isOver: boolean;
 	hasHead: boolean;
-	isPassedOn: boolean;
-	passedOn: string;
-	lastWordAt: number;
+	isForwarded: boolean;
+	forwardedText: string;
+	lastReceivedAt: number;
 	cancelAtServer: () => void;
 	head: AnswerHead | undefined;
 };
 const connectMilliseconds = 1;
-const connectLimitMilliseconds = 1000;
-const stallMilliseconds = 2000;
-export const travelMilliseconds = 1.5;
-/** Share of given-up attempts whose late events still reach the engine. */
+const connectTimeoutMilliseconds = 1000;
+const stallTimeoutMilliseconds = 2000;
+export const networkDelayMilliseconds = 1.5;
+/** Probability that a late event of a cancelled or failed attempt still reaches the engine. */
 const lateEventShare = 0.3;
 
 export class FakeAttempts {
 	private readonly _attempts = new Map<number, Attempt>();
 	private readonly _idle: Connection[] = [];
 	private readonly _vm: VmHost;
-	private readonly _world: CallSurroundings;
+	private readonly _environment: CallEnvironment;
 
-	constructor(vm: VmHost, world: CallSurroundings) {
+	constructor(vm: VmHost, environment: CallEnvironment) {
 		this._vm = vm;
-		this._world = world;
+		this._environment = environment;
 	}
 
-	/** Something between the two ends forgets every connection that is open now. */
+	/** Silences all open connections, as when a firewall between the ends drops its connection state. */
 	silenceConnections(): void {
 		for (const connection of [...this._idle, ...Array.from(this._attempts.values(), ({connection}) => connection)]) {
 			if (connection !== undefined) {
@@ -46,8 +46,8 @@
 		}
 	}
 
-	/** The VM has died: its connections close. */
-	abandon(): void {
+	/** Closes the connections of all attempts after the VM was killed. */
+	closeAll(): void {
 		for (const attempt of this._attempts.values()) {
 			attempt.cancelAtServer();
 		}
@@ -59,7 +59,7 @@
 			return;
 		}
 
-		const backendServer = this._world.backendServerAt(effect.port);
+		const backendServer = this._environment.backendServerAt(effect.port);
 		const attempt: Attempt = {
 			effect,
 			call,
@@ -67,32 +67,32 @@
 			connection: undefined,
 			isOver: false,
 			hasHead: false,
-			isPassedOn: false,
-			passedOn: '',
-			lastWordAt: this._world.timeline.now,
+			isForwarded: false,
+			forwardedText: '',
+			lastReceivedAt: this._environment.timeline.now,
 			cancelAtServer() {
 				// Nothing has been sent yet.
 			},
 			head: undefined,
 		};
 		this._attempts.set(effect.attemptId, attempt);
-		const kept = effect.needsFreshConnection || !backendServer.isUp ? -1 : this._idle.findIndex(({port}) => port === effect.port);
-		if (kept >= 0) {
-			[attempt.connection] = this._idle.splice(kept, 1);
+		const idlePosition = effect.needsFreshConnection || !backendServer.isUp ? -1 : this._idle.findIndex(({port}) => port === effect.port);
+		if (idlePosition >= 0) {
+			[attempt.connection] = this._idle.splice(idlePosition, 1);
 			this._send(attempt);
 			return;
 		}
 
-		const startedAt = this._world.timeline.now;
-		const isReachable = this._world.canPass(this._vm.name, backendServer.name) && this._world.canPass(backendServer.name, this._vm.name);
-		this._vm.after(isReachable ? connectMilliseconds : connectLimitMilliseconds, () => {
+		const startedAt = this._environment.timeline.now;
+		const isReachable = this._environment.canPass(this._vm.name, backendServer.name) && this._environment.canPass(backendServer.name, this._vm.name);
+		this._vm.after(isReachable ? connectMilliseconds : connectTimeoutMilliseconds, () => {
 			if (!isReachable || !backendServer.isUp) {
 				this._fail(attempt, 'connection-refused');
-			} else if (this._world.timeline.now > startedAt + connectLimitMilliseconds) {
-				// The VM was paused meanwhile: the decision to place the call here is as old as the pause.
+			} else if (this._environment.timeline.now > startedAt + connectTimeoutMilliseconds) {
+				// The VM was paused while it connected, so the choice of this backend server is outdated.
 				this._fail(attempt, 'not-sent');
 			} else if (!attempt.isOver) {
-				attempt.connection = {port: effect.port, openedAt: this._world.timeline.now, isSilent: false};
+				attempt.connection = {port: effect.port, openedAt: this._environment.timeline.now, isSilent: false};
 				this._send(attempt);
 			}
 		});
@@ -100,94 +100,94 @@
 
 	private _send(attempt: Attempt): void {
 		const {effect, call, backendServer} = attempt;
-		const givenAt = this._world.timeline.now;
+		const dispatchedAt = this._environment.timeline.now;
 		this._vm.feed({type: 'attempt-sent', attemptId: effect.attemptId});
-		this._world.timeline.after(travelMilliseconds, () => {
-			if (!this._isCarried(attempt, this._vm.name, backendServer.name)) {
+		this._environment.timeline.after(networkDelayMilliseconds, () => {
+			if (!this._isDelivered(attempt, this._vm.name, backendServer.name)) {
 				return;
 			}
 
 			if (!backendServer.isUp) {
-				this._arrive(attempt, () => {
+				this._deliver(attempt, () => {
 					this._fail(attempt, 'reset-after-sending');
 				});
 				return;
 			}
 
-			const cancel = backendServer.take({
+			const cancel = backendServer.accept({
 				call: call.name,
-				givenAt,
+				dispatchedAt,
 				identity: effect.identity,
 				isIdempotent: call.isIdempotent,
-				isKiller: call.isKiller,
+				crashesBackendServer: call.crashesBackendServer,
 				workMilliseconds: call.workMilliseconds,
 				bodyMilliseconds: call.bodyMilliseconds,
 				resume: effect.resume,
 				onHead: head => {
-					this._arrive(attempt, () => {
-						this._head(attempt, head);
+					this._deliver(attempt, () => {
+						this._handleHead(attempt, head);
 					});
 				},
 				onChunk: text => {
-					this._arrive(attempt, () => {
-						this._chunk(attempt, text);
+					this._deliver(attempt, () => {
+						this._handleChunk(attempt, text);
 					});
 				},
 				onEnd: () => {
-					this._arrive(attempt, () => {
-						this._end(attempt);
+					this._deliver(attempt, () => {
+						this._handleEnd(attempt);
 					});
 				},
 				onReset: () => {
-					this._arrive(attempt, () => {
+					this._deliver(attempt, () => {
 						this._fail(attempt, attempt.hasHead ? 'reset-during-answer' : 'reset-after-sending');
 					});
 				},
 			});
 			attempt.cancelAtServer = () => {
-				this._world.timeline.after(travelMilliseconds, () => {
-					if (this._isCarried(attempt, this._vm.name, backendServer.name)) {
+				this._environment.timeline.after(networkDelayMilliseconds, () => {
+					if (this._isDelivered(attempt, this._vm.name, backendServer.name)) {
 						cancel();
 					}
 				});
 			};
 
-			// Given up while its bytes were on their way: the close follows them.
+			// The attempt was cancelled while the request was in transit: the close arrives after the request.
 			if (attempt.isOver) {
 				cancel();
 			}
 		});
 	}
 
-	/** Something from the backend server comes in over the attempt's connection, if that still carries. */
-	private _arrive(attempt: Attempt, task: () => void): void {
-		this._world.timeline.after(travelMilliseconds, () => {
-			if (this._isCarried(attempt, attempt.backendServer.name, this._vm.name)) {
-				this._vm.whenRunning(task);
+	/** Delivers an event of the backend server to the VM, unless the connection is silent or cut. */
+	private _deliver(attempt: Attempt, task: () => void): void {
+		this._environment.timeline.after(networkDelayMilliseconds, () => {
+			if (this._isDelivered(attempt, attempt.backendServer.name, this._vm.name)) {
+				this._vm.runOrDefer(task);
 			}
 		});
 	}
 
-	private _isCarried(attempt: Attempt, from: string, to: string): boolean {
-		if (!this._world.canPass(from, to) && attempt.connection !== undefined) {
-			// What is lost in a cut is not made up for: the connection stays silent after it.
+	private _isDelivered(attempt: Attempt, from: string, to: string): boolean {
+		if (!this._environment.canPass(from, to) && attempt.connection !== undefined) {
+			// Lost bytes are not sent again, so the connection stays silent after the cut ends.
 			attempt.connection.isSilent = true;
 		}
 
 		return attempt.connection?.isSilent !== true;
 	}
 
-	private _head(attempt: Attempt, head: AnswerHead): void {
+	private _handleHead(attempt: Attempt, head: AnswerHead): void {
 		const isLate = attempt.isOver;
-		if (isLate && this._world.chance() > lateEventShare) {
+		if (isLate && this._environment.random() > lateEventShare) {
 			return;
 		}
 
 		attempt.hasHead = true;
-		attempt.lastWordAt = this._world.timeline.now;
+		attempt.lastReceivedAt = this._environment.timeline.now;
 		attempt.head = head;
 		if (head.report.isLeaving) {
-			this._world.sawLeaving(this._vm, attempt.effect.identity, head.report.instance);
+			this._environment.reportLeavingSign(this._vm, attempt.effect.identity, head.report.instance);
 		}
 
 		this._vm.feed({
@@ -197,12 +197,12 @@
 	}
 
 	private _watchStall(attempt: Attempt): void {
-		this._vm.after(stallMilliseconds, () => {
+		this._vm.after(stallTimeoutMilliseconds, () => {
 			if (attempt.isOver) {
 				return;
 			}
 
-			if (this._world.timeline.now - attempt.lastWordAt >= stallMilliseconds) {
+			if (this._environment.timeline.now - attempt.lastReceivedAt >= stallTimeoutMilliseconds) {
 				this._fail(attempt, 'silent');
 			} else {
 				this._watchStall(attempt);
@@ -210,61 +210,61 @@
 		});
 	}
 
-	private _chunk(attempt: Attempt, text: string): void {
-		attempt.lastWordAt = this._world.timeline.now;
+	private _handleChunk(attempt: Attempt, text: string): void {
+		attempt.lastReceivedAt = this._environment.timeline.now;
 		if (attempt.isOver) {
 			return;
 		}
 
-		// As in the product's adapter: what comes before the head is passed on is lost.
+		// As in the product's adapter, body bytes that arrive before the head is forwarded are discarded.
 		const open = this._vm.openCall(attempt.effect.callId);
-		if (attempt.isPassedOn && open !== undefined) {
+		if (attempt.isForwarded && open !== undefined) {
 			open.received += text;
 		}
 	}
 
-	private _end(attempt: Attempt): void {
+	private _handleEnd(attempt: Attempt): void {
 		if (attempt.isOver) {
-			if (this._world.chance() < lateEventShare) {
+			if (this._environment.random() < lateEventShare) {
 				this._vm.feed({type: 'attempt-done', attemptId: attempt.effect.attemptId});
 			}
 
 			return;
 		}
 
-		if (attempt.isPassedOn) {
+		if (attempt.isForwarded) {
 			this._complete(attempt);
 		}
 	}
 
 	private _complete(attempt: Attempt): void {
 		const {callId, attemptId} = attempt.effect;
-		this._retire(attempt, true);
+		this._finish(attempt, true);
 		this._vm.endCall(callId, ({call, received, outcome}) => ({
-			type: 'answer-whole', at: this._world.timeline.now, call: call.name, body: received, outcome, isRefusal: false,
+			type: 'answer-whole', at: this._environment.timeline.now, call: call.name, body: received, outcome, isRefusal: false,
 		}));
 		this._vm.feed({type: 'attempt-done', attemptId});
 	}
 
-	passOn(callId: CallId, attemptId: number, outcome: ToldOutcome): void {
+	forward(callId: CallId, attemptId: number, outcome: ReportedOutcome): void {
 		const attempt = this._attempts.get(attemptId);
 		const open = this._vm.openCall(callId);
 		if (attempt === undefined || open === undefined) {
 			return;
 		}
 
-		attempt.isPassedOn = true;
+		attempt.isForwarded = true;
 		open.outcome ??= outcome;
 	}
 
 	private _fail(attempt: Attempt, failure: AttemptFailure): void {
-		if (attempt.isOver && this._world.chance() > lateEventShare) {
+		if (attempt.isOver && this._environment.random() > lateEventShare) {
 			return;
 		}
 
 		const isLate = attempt.isOver;
 		if (!isLate) {
-			this._retire(attempt, false);
+			this._finish(attempt, false);
 			attempt.cancelAtServer();
 		}
 
@@ -280,12 +280,12 @@
 	cancel(attemptId: number): void {
 		const attempt = this._attempts.get(attemptId);
 		if (attempt !== undefined) {
-			this._retire(attempt, false);
+			this._finish(attempt, false);
 			attempt.cancelAtServer();
 		}
 	}
 
-	private _retire(attempt: Attempt, isConnectionKept: boolean): void {
+	private _finish(attempt: Attempt, isConnectionKept: boolean): void {
 		attempt.isOver = true;
 		this._attempts.delete(attempt.effect.attemptId);
 		if (isConnectionKept && attempt.connection !== undefined) {
--- a/src/proof/fuzz/fake-backend-server.ts
+++ b/src/proof/fuzz/fake-backend-server.ts
@@ -1,18 +1,18 @@
-/** A plain process that runs calls and records what it ran. Knows nothing of balancers. */
+/** Simulated backend server that runs calls and records each run. It does not depend on the load balancer. */
 import {type HistoryEvent} from '../oracle/types.ts';
 import {type Timeline} from './timeline.ts';
 
-/** How it treats calls now. */
+/** Behaviour of the backend server for new calls. */
 export type Treatment = 'normal' | 'slow' | 'fails-fast' | 'sheds' | 'bare-503' | 'misleads';
 
-/** A call as it comes over a connection, and where its answer goes. */
+/** A call received over a connection, with callbacks for its answer. */
 export type IncomingCall = {
 	readonly call: string;
-	readonly givenAt: number;
-	/** Declared identity under which the balancer sent it. */
+	readonly dispatchedAt: number;
+	/** Identity of the declaration that the load balancer used. */
 	readonly identity: string;
 	readonly isIdempotent: boolean;
-	readonly isKiller: boolean;
+	readonly crashesBackendServer: boolean;
 	readonly workMilliseconds: number;
 	readonly bodyMilliseconds: number;
 	readonly resume: {readonly offset: number; readonly validator: string} | undefined;
@@ -37,27 +37,27 @@
 
 const slots = 6;
 const chunkCount = 4;
-const killerMilliseconds = 2;
+const crashDelayMilliseconds = 2;
 const slowFactor = 20;
 
 export class FakeBackendServer {
 	readonly name: string;
 	treatment: Treatment = 'normal';
 	isLeaving = false;
-	/** Version of what idempotent calls read; a resumed download must not mix two. */
+	/** Version of the content that idempotent calls read. A resumed download must not mix two versions. */
 	contentVersion = 1;
 	private readonly _timeline: Timeline;
 	private readonly _record: (event: HistoryEvent) => void;
-	private readonly _onCrashOver: (server: FakeBackendServer) => void;
+	private readonly _restartAfterCrash: (server: FakeBackendServer) => void;
 	private readonly _work = new Set<Work>();
-	private _frozen: Array<() => void> | undefined;
+	private _deferred: Array<() => void> | undefined;
 	private _instance = 1;
 	private _isUp = true;
 	private _runs = 0;
 
-	/** `onCrashOver` restarts it, so that the world knows of the new process. */
-	constructor(name: string, timeline: Timeline, record: (event: HistoryEvent) => void, onCrashOver: (server: FakeBackendServer) => void) {
-		this._onCrashOver = onCrashOver;
+	/** `restartAfterCrash` is called 1000 ms after a crash, and starts a new process through the world, which records its return. */
+	constructor(name: string, timeline: Timeline, record: (event: HistoryEvent) => void, restartAfterCrash: (server: FakeBackendServer) => void) {
+		this._restartAfterCrash = restartAfterCrash;
 		this.name = name;
 		this._timeline = timeline;
 		this._record = record;
@@ -68,7 +68,7 @@
 	}
 
 	get isFrozen(): boolean {
-		return this._frozen !== undefined;
+		return this._deferred !== undefined;
 	}
 
 	report(): Report {
@@ -83,25 +83,25 @@
 		};
 	}
 
-	/** Takes a call; the function given back cancels it. */
-	take(incoming: IncomingCall): () => void {
+	/** Accepts a call, and returns a function that cancels it. */
+	accept(incoming: IncomingCall): () => void {
 		const work: Work = {incoming, isRunning: false, isCancelled: false};
 		this._work.add(work);
-		this._whenAwake(() => {
+		this._runOrDefer(() => {
 			this._begin(work);
 		});
 		return () => {
-			this._whenAwake(() => {
+			this._runOrDefer(() => {
 				work.isCancelled = true;
 				this._finish(work);
 			});
 		};
 	}
 
-	/** All its connections are cut, and what ran is lost. */
+	/** Ends the process: resets all connections and discards all calls. */
 	kill(): void {
 		this._isUp = false;
-		this._frozen = undefined;
+		this._deferred = undefined;
 		for (const {incoming, isCancelled} of this._work) {
 			if (!isCancelled) {
 				incoming.onReset();
@@ -111,7 +111,7 @@
 		this._work.clear();
 	}
 
-	/** A new process under the same address. */
+	/** Starts a new process at the same address. */
 	restart(): void {
 		this._instance++;
 		this._isUp = true;
@@ -120,28 +120,28 @@
 	}
 
 	freeze(): void {
-		this._frozen ??= [];
+		this._deferred ??= [];
 	}
 
 	thaw(): void {
-		const waiting = this._frozen ?? [];
-		this._frozen = undefined;
+		const waiting = this._deferred ?? [];
+		this._deferred = undefined;
 		for (const task of waiting) {
 			task();
 		}
 	}
 
-	private _whenAwake(task: () => void): void {
-		if (this._frozen === undefined) {
+	private _runOrDefer(task: () => void): void {
+		if (this._deferred === undefined) {
 			task();
 		} else {
-			this._frozen.push(task);
+			this._deferred.push(task);
 		}
 	}
 
-	private _later(work: Work, milliseconds: number, task: () => void): void {
+	private _schedule(work: Work, milliseconds: number, task: () => void): void {
 		this._timeline.after(milliseconds, () => {
-			this._whenAwake(() => {
+			this._runOrDefer(() => {
 				if (this._work.has(work)) {
 					task();
 				}
@@ -164,14 +164,14 @@
 		const {incoming} = work;
 		const run = `${this.name}-${this._instance}-${++this._runs}`;
 		this._record({
-			type: 'run-began', at: this._timeline.now, run, call: incoming.call, backendServer: incoming.identity, givenAt: incoming.givenAt,
+			type: 'run-began', at: this._timeline.now, run, call: incoming.call, backendServer: incoming.identity, dispatchedAt: incoming.dispatchedAt,
 		});
-		if (incoming.isKiller) {
-			this._later(work, killerMilliseconds, () => {
+		if (incoming.crashesBackendServer) {
+			this._schedule(work, crashDelayMilliseconds, () => {
 				this.kill();
 				this._timeline.after(1000, () => {
 					if (!this._isUp) {
-						this._onCrashOver(this);
+						this._restartAfterCrash(this);
 					}
 				});
 			});
@@ -184,7 +184,7 @@
 			return;
 		}
 
-		this._later(work, incoming.workMilliseconds * (this.treatment === 'slow' ? slowFactor : 1), () => {
+		this._schedule(work, incoming.workMilliseconds * (this.treatment === 'slow' ? slowFactor : 1), () => {
 			this._answer(work, run);
 		});
 	}
@@ -197,22 +197,22 @@
 
 	private _answer(work: Work, run: string): void {
 		const {incoming} = work;
-		const whole = incoming.isIdempotent ? `${incoming.call} as of version ${this.contentVersion} ${'.'.repeat(40)}` : `${incoming.call} done by ${run}`;
-		this._recordAnswer(run, incoming.call, whole);
+		const fullBody = incoming.isIdempotent ? `${incoming.call} as of version ${this.contentVersion} ${'.'.repeat(40)}` : `${incoming.call} done by ${run}`;
+		this._recordAnswer(run, incoming.call, fullBody);
 		const validator = incoming.isIdempotent ? `"${this.contentVersion}"` : undefined;
-		const isPart = incoming.resume !== undefined && incoming.resume.validator === validator;
+		const isPartial = incoming.resume !== undefined && incoming.resume.validator === validator;
 		incoming.onHead({
-			status: isPart ? 206 : 200, isDeclaredNotRun: false, validator, report: this.report(),
+			status: isPartial ? 206 : 200, isDeclaredNotRun: false, validator, report: this.report(),
 		});
-		const body = isPart ? whole.slice(incoming.resume.offset) : whole;
+		const body = isPartial ? fullBody.slice(incoming.resume.offset) : fullBody;
 		const length = Math.ceil(body.length / chunkCount);
 		for (let chunk = 0; chunk < chunkCount; chunk++) {
-			this._later(work, incoming.bodyMilliseconds * (chunk + 1) / chunkCount, () => {
+			this._schedule(work, incoming.bodyMilliseconds * (chunk + 1) / chunkCount, () => {
 				incoming.onChunk(body.slice(chunk * length, (chunk + 1) * length));
 			});
 		}
 
-		this._later(work, incoming.bodyMilliseconds, () => {
+		this._schedule(work, incoming.bodyMilliseconds, () => {
 			incoming.onEnd();
 			this._finish(work);
 		});
--- a/src/proof/fuzz/fake-fleet.ts
+++ b/src/proof/fuzz/fake-fleet.ts
@@ -1,7 +1,7 @@
 /**
- * What the fleet engine does for the call engines, as a plain fake: spreads configurations and signs of
- * leaving from VM to VM, hands out shares of the measuring budget, and claims keys. It keeps its own
- * promises; the fuzzing of calls asks whether the call engine keeps its own on top of it.
+ * Fake of the fleet engine and the store for the call engines: distributes configurations and signs of leaving among
+ * the VMs, assigns shares of the load probe budget, and claims idempotency keys. The fake itself is correct, so
+ * violations found by the fuzzed calls are faults of the call engine.
  */
 import {type CallConfiguration, type CallEvent, type LoadUpdate} from '../../common/calls/types.ts';
 import {type HistoryEvent} from '../oracle/types.ts';
@@ -10,25 +10,25 @@
 import {type Timeline} from './timeline.ts';
 import {type VmHost} from './types.ts';
 
-type Knowledge = {version: number; readonly signs: Set<string>; isIsolated: boolean};
+type VmView = {version: number; readonly signs: Set<string>; isIsolated: boolean};
 type Slot = {holder: CallVm | undefined; until: number};
 type Sign = {readonly identity: string; readonly instance: string};
 
 export const storeName = 'store';
-const roundMilliseconds = 250;
+const gossipMilliseconds = 250;
 const shareSlots = 5;
-const shareTermMilliseconds = 3000;
-const storeLimitMilliseconds = 500;
+const shareLeaseMilliseconds = 3000;
+const storeTimeoutMilliseconds = 500;
 const storeMilliseconds = 2;
 const slowStoreMilliseconds = 900;
 
 export class FakeFleet {
 	isStoreUp = true;
 	isStoreSlow = false;
-	/** So many of the next writes take effect without an answer. */
+	/** Number of next key claims that take effect but whose answers are lost. */
 	answersToLose = 0;
 	windowMilliseconds = 2000;
-	private readonly _known = new Map<VmHost, Knowledge>();
+	private readonly _views = new Map<VmHost, VmView>();
 	private readonly _vms: CallVm[] = [];
 	private readonly _signs = new Map<string, Sign>();
 	private readonly _slots: Slot[] = Array.from({length: shareSlots}, () => ({holder: undefined, until: Number.NEGATIVE_INFINITY}));
@@ -42,7 +42,7 @@
 		private readonly _record: (event: HistoryEvent) => void,
 	) {
 		this._configuration = configuration;
-		this._round();
+		this._runGossipRound();
 	}
 
 	/** VMs that have not ended. */
@@ -54,41 +54,41 @@
 		return this._configuration;
 	}
 
-	/** A new VM serves once it knows what the others know. */
+	/** Adds a VM with the current configuration and all signs of leaving. */
 	add(vm: CallVm): void {
 		this._vms.push(vm);
-		this._known.set(vm, {version: this._configuration.version, signs: new Set(this._signs.keys()), isIsolated: false});
+		this._views.set(vm, {version: this._configuration.version, signs: new Set(this._signs.keys()), isIsolated: false});
 		vm.feed({type: 'configured', configuration: this._configuration});
 		for (const sign of this._signs.values()) {
 			vm.feed({type: 'backend-server-leaving', ...sign});
 		}
 
-		this._handOutShares();
+		this._assignShares();
 	}
 
-	/** An operator's change through one VM, which knows it with its acceptance. False if it can't reach the store. */
+	/** Applies an operator's change through one VM, which receives the configuration at once. Returns false if the VM cannot use the store. */
 	declare(through: CallVm, configuration: CallConfiguration): boolean {
 		if (!this._canUseStore(through)) {
 			return false;
 		}
 
 		this._configuration = configuration;
-		this._known.get(through)!.version = configuration.version;
+		this._views.get(through)!.version = configuration.version;
 		through.feed({type: 'configured', configuration});
-		this._teachAll();
+		this._updateViews();
 		return true;
 	}
 
-	/** A VM has seen a process of a backend server say that it leaves. */
-	saw(vm: VmHost, sign: Sign): void {
+	/** Adds a sign of leaving that the VM has observed. */
+	addLeavingSign(vm: VmHost, sign: Sign): void {
 		const name = `${sign.identity} ${sign.instance}`;
 		this._signs.set(name, sign);
-		this._known.get(vm)?.signs.add(name);
+		this._views.get(vm)?.signs.add(name);
 		vm.feed({type: 'backend-server-leaving', ...sign});
-		this._teachAll();
+		this._updateViews();
 	}
 
-	tellPeers(from: VmHost, update: LoadUpdate): void {
+	sendToPeers(from: VmHost, update: LoadUpdate): void {
 		for (const to of this.vms) {
 			if (to !== from && this._network.canPass(from.name, to.name)) {
 				this._timeline.after(5, () => {
@@ -100,7 +100,7 @@
 
 	claimKey(vm: VmHost, key: string, answer: (claim: 'granted' | 'taken' | 'unavailable') => void): void {
 		if (!this._canUseStore(vm)) {
-			this._timeline.after(storeLimitMilliseconds, () => {
+			this._timeline.after(storeTimeoutMilliseconds, () => {
 				answer('unavailable');
 			});
 			return;
@@ -110,7 +110,7 @@
 		this._claimed.add(key);
 		const isLost = this.answersToLose > 0;
 		this.answersToLose -= isLost ? 1 : 0;
-		this._timeline.after(isLost ? storeLimitMilliseconds : this._storeMilliseconds(), () => {
+		this._timeline.after(isLost ? storeTimeoutMilliseconds : this._storeMilliseconds(), () => {
 			answer(isLost ? 'unavailable' : claim);
 		});
 	}
@@ -126,38 +126,38 @@
 	}
 
 	private _canUseStore(vm: VmHost): boolean {
-		return this.isStoreUp && !vm.isPaused && this._network.canTalk(vm.name, storeName);
+		return this.isStoreUp && !vm.isPaused && this._network.canPassBothWays(vm.name, storeName);
 	}
 
-	private _round(): void {
+	private _runGossipRound(): void {
 		this._markIsolated();
-		this._teachAll();
-		this._handOutShares();
-		this._timeline.after(roundMilliseconds, () => {
-			this._round();
+		this._updateViews();
+		this._assignShares();
+		this._timeline.after(gossipMilliseconds, () => {
+			this._runGossipRound();
 		});
 	}
 
-	/** Updates are told at once; the rounds are for those that could not be reached then. */
-	private _teachAll(): void {
+	/** Runs for each update at once, and in each gossip round for VMs that could not be reached before. */
+	private _updateViews(): void {
 		for (const vm of this.vms) {
-			this._teach(vm);
+			this._updateView(vm);
 		}
 	}
 
-	/** One step of gossip: what the store or a VM that can send to this one knows. */
-	private _teach(vm: CallVm): void {
-		const own = this._known.get(vm)!;
-		const sources = this.vms.filter(other => other !== vm && !other.isPaused && this._network.canPass(other.name, vm.name)).map(other => this._known.get(other)!);
-		const newest = this._canUseStore(vm) ? this._configuration.version : Math.max(own.version, ...sources.map(({version}) => version));
-		if (newest > own.version && newest === this._configuration.version) {
-			own.version = newest;
+	/** One step of gossip: the VM receives the state of the store, if it can use the store, and of all VMs that can send to it. */
+	private _updateView(vm: CallVm): void {
+		const view = this._views.get(vm)!;
+		const sources = this.vms.filter(other => other !== vm && !other.isPaused && this._network.canPass(other.name, vm.name)).map(other => this._views.get(other)!);
+		const newest = this._canUseStore(vm) ? this._configuration.version : Math.max(view.version, ...sources.map(({version}) => version));
+		if (newest > view.version && newest === this._configuration.version) {
+			view.version = newest;
 			this._feedLater(vm, {type: 'configured', configuration: this._configuration});
 		}
 
 		for (const name of sources.flatMap(({signs}) => [...signs])) {
-			if (!own.signs.has(name)) {
-				own.signs.add(name);
+			if (!view.signs.has(name)) {
+				view.signs.add(name);
 				this._feedLater(vm, {type: 'backend-server-leaving', ...this._signs.get(name)!});
 			}
 		}
@@ -169,31 +169,31 @@
 		});
 	}
 
-	/** A VM is isolated if it can't be told what another, running VM or the store knows. */
+	/** A VM is isolated if updates from some running VM or from the store cannot reach it, directly or through other VMs. */
 	private _markIsolated(): void {
 		const running = this.vms.filter(({isPaused}) => !isPaused);
 		for (const vm of this.vms) {
-			const heard = new Set<string>([vm.name]);
-			for (let size = 0; size < heard.size;) {
-				size = heard.size;
+			const reachableFrom = new Set<string>([vm.name]);
+			for (let size = 0; size < reachableFrom.size;) {
+				size = reachableFrom.size;
 				for (const {name} of running) {
-					if ([...heard].some(to => this._network.canPass(name, to))) {
-						heard.add(name);
+					if ([...reachableFrom].some(to => this._network.canPass(name, to))) {
+						reachableFrom.add(name);
 					}
 				}
 			}
 
-			const hearsStore = this.isStoreUp && [...heard].some(name => this._network.canTalk(name, storeName));
-			// The only VM that knew may have died or stopped with the store out of reach.
-			const hearsNewest = hearsStore || running.some(other => heard.has(other.name) && this._known.get(other)!.version === this._configuration.version);
-			this._setIsolated(vm, !vm.isPaused && (!hearsNewest || running.some(({name}) => !heard.has(name)) || (this.isStoreUp && !hearsStore)));
+			const isStoreReachable = this.isStoreUp && [...reachableFrom].some(name => this._network.canPassBothWays(name, storeName));
+			// The only VM with the newest configuration may have ended or been paused while the store is unavailable.
+			const isNewestReachable = isStoreReachable || running.some(other => reachableFrom.has(other.name) && this._views.get(other)!.version === this._configuration.version);
+			this._setIsolated(vm, !vm.isPaused && (!isNewestReachable || running.some(({name}) => !reachableFrom.has(name)) || (this.isStoreUp && !isStoreReachable)));
 		}
 	}
 
 	private _setIsolated(vm: CallVm, isIsolated: boolean): void {
-		const known = this._known.get(vm)!;
-		if (known.isIsolated !== isIsolated) {
-			known.isIsolated = isIsolated;
+		const view = this._views.get(vm)!;
+		if (view.isIsolated !== isIsolated) {
+			view.isIsolated = isIsolated;
 			this._record({
 				type: isIsolated ? 'fault-began' : 'fault-ended', at: this._timeline.now, party: vm.name, fault: 'isolated',
 			});
@@ -201,19 +201,19 @@
 		}
 	}
 
-	/** A slot's next holder begins a whole window after the old right has ended. */
-	private _handOutShares(): void {
+	/** The next holder of a slot may send load probes only a whole budget window after the previous lease has expired. */
+	private _assignShares(): void {
 		const {now} = this._timeline;
 		for (const vm of this.vms.filter(one => this._canUseStore(one))) {
-			const own = this._slots.find(({holder, until}) => holder === vm && until > now);
-			const slot = own ?? this._slots.find(({until}) => until <= now);
+			const ownSlot = this._slots.find(({holder, until}) => holder === vm && until > now);
+			const slot = ownSlot ?? this._slots.find(({until}) => until <= now);
 			if (slot === undefined) {
 				continue;
 			}
 
-			const from = own === undefined ? Math.max(now, slot.until + this.windowMilliseconds) : now;
+			const from = ownSlot === undefined ? Math.max(now, slot.until + this.windowMilliseconds) : now;
 			slot.holder = vm;
-			slot.until = from + shareTermMilliseconds;
+			slot.until = from + shareLeaseMilliseconds;
 			const offset = vm.now - now;
 			this._timeline.after(this._storeMilliseconds(), () => {
 				vm.feed({
@@ -221,7 +221,7 @@
 					shares: {
 						loadProbeFraction: 1 / shareSlots,
 						loadProbesFrom: from + offset,
-						loadProbesUntil: from + shareTermMilliseconds + offset,
+						loadProbesUntil: from + shareLeaseMilliseconds + offset,
 						connectionFraction: 1 / shareSlots,
 						vmCount: this.vms.length,
 					},
--- a/src/proof/fuzz/fake-store.ts
+++ b/src/proof/fuzz/fake-store.ts
@@ -1,94 +1,94 @@
-/** The platform's key-value service in memory, in simulated time, with every way to fail that the brief names. */
+/** In-memory fake of the platform's key-value store in simulated time: it can be down, slow or stale, and lose writes or answers. */
 import {type StoreEntry, type StoreOperation, type StoreReply} from '../../common/platform/types.ts';
 import {type Timeline} from './timeline.ts';
 
 type Lease = {until: number; readonly milliseconds: number};
-type Held = StoreEntry & {readonly leaseId: string | undefined};
+type StoredEntry = StoreEntry & {readonly leaseId: string | undefined};
 type Watch = {readonly prefix: string; readonly after: number; isDone: boolean; readonly reply: (reply: StoreReply) => void};
 
 type Write = Extract<StoreOperation, {type: 'compare-and-swap' | 'delete' | 'grant-lease' | 'keep-lease'}>;
 const writeTypes = new Set<StoreOperation['type']>(['compare-and-swap', 'delete', 'grant-lease', 'keep-lease']);
 const isWrite = (operation: StoreOperation): operation is Write => writeTypes.has(operation.type);
 
-/** How long a client waits for an answer that is lost. */
-const clientLimitMilliseconds = 500;
-const usualMilliseconds = 1;
+/** Time after which a client gets the reply `unknown` if the answer is lost. */
+const clientTimeoutMilliseconds = 500;
+const normalMilliseconds = 1;
 const slowMilliseconds = 900;
 
 export class FakeStore {
 	isUp = true;
 	isSlow = false;
-	/** So many of the next writes take effect, at once or late, and their answers are lost. */
+	/** Number of next writes that take effect, possibly after the client's timeout, but whose answers are lost. */
 	answersToLose = 0;
-	/** So many of the next writes are lost on the way, and their clients can't know. */
+	/** Number of next writes that are lost before they take effect. Their clients cannot tell them from writes with lost answers. */
 	writesToLose = 0;
 	private readonly _timeline: Timeline;
-	private readonly _chance: () => number;
-	private readonly _entries = new Map<string, Held>();
-	private _stale: ReadonlyMap<string, Held> | undefined;
+	private readonly _random: () => number;
+	private readonly _entries = new Map<string, StoredEntry>();
+	private _staleEntries: ReadonlyMap<string, StoredEntry> | undefined;
 	private readonly _leases = new Map<string, Lease>();
 	private readonly _watches = new Set<Watch>();
 	private _revision = 0;
 	private _lastLease = 0;
 
-	constructor(timeline: Timeline, chance: () => number) {
+	constructor(timeline: Timeline, random: () => number) {
 		this._timeline = timeline;
-		this._chance = chance;
+		this._random = random;
 	}
 
-	/** From now on reads come from a replica that has stopped here. */
+	/** Reads are served from a replica that has stopped at the current state. */
 	stopReplica(): void {
-		this._stale = new Map(this._entries);
+		this._staleEntries = new Map(this._entries);
 	}
 
 	resumeReplica(): void {
-		this._stale = undefined;
+		this._staleEntries = undefined;
 	}
 
 	get isStale(): boolean {
-		return this._stale !== undefined;
+		return this._staleEntries !== undefined;
 	}
 
-	/** The reply comes by `reply`; the way there and back takes its time. */
+	/** Executes the operation after the latency to the store, and calls `reply` after the latency back. */
 	execute(operation: StoreOperation, reply: (reply: StoreReply) => void): void {
 		if (!this.isUp) {
-			this._timeline.after(usualMilliseconds, () => {
+			this._timeline.after(normalMilliseconds, () => {
 				reply({type: 'unavailable'});
 			});
 			return;
 		}
 
 		if (isWrite(operation) && (this.answersToLose > 0 || this.writesToLose > 0)) {
-			this._loseOne(operation, reply);
+			this._loseWrite(operation, reply);
 			return;
 		}
 
-		const way = (this.isSlow ? slowMilliseconds : usualMilliseconds) * (0.5 + this._chance()) / 2;
-		this._timeline.after(way, () => {
+		const oneWayMilliseconds = (this.isSlow ? slowMilliseconds : normalMilliseconds) * (0.5 + this._random()) / 2;
+		this._timeline.after(oneWayMilliseconds, () => {
 			if (operation.type === 'watch') {
 				this._watch(operation, reply);
 				return;
 			}
 
 			const result = this._apply(operation);
-			this._timeline.after(way, () => {
+			this._timeline.after(oneWayMilliseconds, () => {
 				reply(result);
 			});
 		});
 	}
 
-	private _loseOne(operation: Write, reply: (reply: StoreReply) => void): void {
+	private _loseWrite(operation: Write, reply: (reply: StoreReply) => void): void {
 		const takesEffect = this.answersToLose > 0;
 		this.answersToLose -= takesEffect ? 1 : 0;
 		this.writesToLose -= takesEffect ? 0 : 1;
 		if (takesEffect) {
-			// Also after its client has given up waiting.
-			this._timeline.after(this._chance() * 2 * clientLimitMilliseconds, () => {
+			// The write may take effect after the client's timeout.
+			this._timeline.after(this._random() * 2 * clientTimeoutMilliseconds, () => {
 				this._apply(operation);
 			});
 		}
 
-		this._timeline.after(clientLimitMilliseconds, () => {
+		this._timeline.after(clientTimeoutMilliseconds, () => {
 			reply({type: 'unknown'});
 		});
 	}
@@ -118,7 +118,7 @@
 				return {type: 'written', revision: this._revision};
 			}
 
-			// Only a fleet that the store leads asks for it.
+			// Not used by the fleet engine under test.
 			case 'write-all': {
 				return {type: 'unavailable'};
 			}
@@ -146,8 +146,8 @@
 		}
 	}
 
-	private _readable(): ReadonlyMap<string, Held> {
-		return this._stale ?? this._entries;
+	private _readable(): ReadonlyMap<string, StoredEntry> {
+		return this._staleEntries ?? this._entries;
 	}
 
 	private _swap(operation: Extract<StoreOperation, {type: 'compare-and-swap'}>): StoreReply {
@@ -164,7 +164,7 @@
 		this._entries.set(key, {
 			key, value, revision: ++this._revision, leaseId,
 		});
-		this._wakeWatches();
+		this._notifyWatches();
 		return {type: 'written', revision: this._revision};
 	}
 
@@ -173,7 +173,7 @@
 			prefix: operation.prefix, after: operation.after, isDone: false, reply,
 		};
 		this._watches.add(watch);
-		this._wakeWatches();
+		this._notifyWatches();
 		this._timeline.after(operation.milliseconds, () => {
 			this._endWatch(watch, {
 				type: 'changes', entries: [], deleted: [], revision: this._revision,
@@ -181,7 +181,7 @@
 		});
 	}
 
-	private _wakeWatches(): void {
+	private _notifyWatches(): void {
 		for (const watch of this._watches) {
 			const entries = [...this._readable().values()].filter(({key, revision}) => key.startsWith(watch.prefix) && revision > watch.after);
 			if (entries.length > 0) {
@@ -194,7 +194,7 @@
 
 	private _endWatch(watch: Watch, reply: StoreReply): void {
 		if (this._watches.delete(watch)) {
-			this._timeline.after(this.isSlow ? slowMilliseconds : usualMilliseconds, () => {
+			this._timeline.after(this.isSlow ? slowMilliseconds : normalMilliseconds, () => {
 				watch.reply(this.isUp ? reply : {type: 'unavailable'});
 			});
 		}
--- a/src/proof/fuzz/fault-coverage.ts
+++ b/src/proof/fuzz/fault-coverage.ts
@@ -1,6 +1,6 @@
-/** Which faults a run has met, and which pairs of them at one time. */
+/** Counts the faults that a run has caused, and the pairs of faults that were active at the same time. */
 
-/** Faults of the brief that the fuzzed worlds bring about. */
+/** Faults that the fuzzed worlds can cause. */
 export const faultNames = [
 	'backend server killed',
 	'backend server frozen',
@@ -33,22 +33,22 @@
 
 export class FaultCoverage {
 	private readonly _possible: readonly FaultName[];
-	private readonly _met = new Map<FaultName, number>();
-	private readonly _pairs = new Set<string>();
+	private readonly _counts = new Map<FaultName, number>();
+	private readonly _coveredPairs = new Set<string>();
 	private _commands = 0;
 	private _histories = 0;
 
-	/** Takes the faults that the fuzzed world can bring about. */
+	/** `possible` lists the faults that the fuzzed world can cause. */
 	constructor(possible: readonly FaultName[]) {
 		this._possible = possible;
 	}
 
-	/** A fault begins while the others last. */
-	meet(fault: FaultName, lasting: Iterable<FaultName>): void {
-		this._met.set(fault, (this._met.get(fault) ?? 0) + 1);
-		for (const other of lasting) {
+	/** Counts a fault that begins while the `active` faults are present. */
+	countFault(fault: FaultName, active: Iterable<FaultName>): void {
+		this._counts.set(fault, (this._counts.get(fault) ?? 0) + 1);
+		for (const other of active) {
 			if (other !== fault) {
-				this._pairs.add(pairName(fault, other));
+				this._coveredPairs.add(pairName(fault, other));
 			}
 		}
 	}
@@ -61,22 +61,22 @@
 		this._histories++;
 	}
 
-	/** Faults that no command has brought about. */
-	unmet(): readonly FaultName[] {
-		return this._possible.filter(fault => !this._met.has(fault));
+	/** Possible faults that have not occurred in the run. */
+	uncovered(): readonly FaultName[] {
+		return this._possible.filter(fault => !this._counts.has(fault));
 	}
 
-	/** Lines for people: how much was run, and what never was. */
+	/** Summary as text lines: numbers of histories and commands, and the covered and uncovered faults and pairs. */
 	report(): readonly string[] {
 		const pairs = this._possible.flatMap((one, position) => this._possible.slice(position + 1).map(other => pairName(one, other)));
-		const unmet = this.unmet();
-		const unmetPairs = pairs.filter(pair => !this._pairs.has(pair));
+		const uncovered = this.uncovered();
+		const uncoveredPairs = pairs.filter(pair => !this._coveredPairs.has(pair));
 		return [
 			`${this._histories} histories, ${this._commands} commands`,
-			`faults met: ${this._possible.length - unmet.length} of ${this._possible.length} (${Array.from(this._met, ([fault, count]) => `${fault} ${count}`).join(', ')})`,
-			`faults never met: ${unmet.join(', ') || 'none'}`,
-			`pairs of faults met: ${pairs.length - unmetPairs.length} of ${pairs.length}`,
-			`pairs never met: ${unmetPairs.join('; ') || 'none'}`,
+			`faults covered: ${this._possible.length - uncovered.length} of ${this._possible.length} (${Array.from(this._counts, ([fault, count]) => `${fault} ${count}`).join(', ')})`,
+			`faults not covered: ${uncovered.join(', ') || 'none'}`,
+			`pairs of faults covered: ${pairs.length - uncoveredPairs.length} of ${pairs.length}`,
+			`pairs not covered: ${uncoveredPairs.join('; ') || 'none'}`,
 		];
 	}
 }
--- a/src/proof/fuzz/fault-log.ts
+++ b/src/proof/fuzz/fault-log.ts
@@ -1,12 +1,12 @@
-/** Which faults last now, told to the coverage as they begin. */
+/** Keeps the set of active faults, and counts each fault in the coverage when it begins. */
 import {type FaultCoverage, type FaultName} from './fault-coverage.ts';
 import {type Timeline} from './timeline.ts';
 
-/** A crash or a lost answer has its effects for about so long. */
-const momentMilliseconds = 3000;
+/** A momentary fault, such as a crash or a lost answer, counts as active for this long, since its effects last about that long. */
+const momentaryFaultMilliseconds = 3000;
 
-export class FaultLog {
-	private readonly _lasting = new Set<FaultName>();
+export class ActiveFaults {
+	private readonly _active = new Set<FaultName>();
 	private readonly _coverage: FaultCoverage;
 	private readonly _timeline: Timeline;
 
@@ -15,22 +15,22 @@
 		this._timeline = timeline;
 	}
 
-	/** A fault begins and lasts until it is healed, a momentary one for a while. */
+	/** Starts a fault. It stays active until `end` or `clear`; a momentary fault ends by itself. */
 	begin(name: FaultName, isMomentary = false): void {
-		this._coverage.meet(name, this._lasting);
-		this._lasting.add(name);
+		this._coverage.countFault(name, this._active);
+		this._active.add(name);
 		if (isMomentary) {
-			this._timeline.after(momentMilliseconds, () => {
-				this._lasting.delete(name);
+			this._timeline.after(momentaryFaultMilliseconds, () => {
+				this._active.delete(name);
 			});
 		}
 	}
 
 	end(name: FaultName): void {
-		this._lasting.delete(name);
+		this._active.delete(name);
 	}
 
 	clear(): void {
-		this._lasting.clear();
+		this._active.clear();
 	}
 }
--- a/src/proof/fuzz/fleet-commands.ts
+++ b/src/proof/fuzz/fleet-commands.ts
@@ -1,10 +1,10 @@
-/** Commands of operators and faults over a `FleetWorld`. */
+/** Commands on a `FleetWorld`: changes by operators, signs of leaving, and faults. */
 import {type FaultName} from './fault-coverage.ts';
 import {type FleetVm} from './fleet-vm.ts';
 import {type FleetWorld} from './fleet-world.ts';
-import {type Apply, type CommandKind, pick} from './world-command.ts';
+import {type ApplyCommand, type CommandKind, pick} from './world-command.ts';
 
-/** Faults that a `FleetWorld` can bring about. */
+/** Faults that a `FleetWorld` can cause. */
 export const fleetFaults: readonly FaultName[] = [
 	'VM killed',
 	'VM paused',
@@ -23,7 +23,7 @@
 	'backend server leaves',
 ];
 
-type FleetApply = Apply<FleetWorld>;
+type FleetApply = ApplyCommand<FleetWorld>;
 
 const names = ['reads-0', 'reads-1', 'reads-2'];
 
@@ -44,7 +44,7 @@
 	}
 };
 
-/** Two operators change the same resource at once, both on top of the version that they see. */
+/** Two operators change the same resource at nearly the same time, each expecting the version that its VM shows. */
 const declareTwice: FleetApply = (world, [one = 0, other = 0, apart = 0]) => {
 	const [first, second] = [pick(world.vms, one), pick(world.vms, other)];
 	if (first === undefined || second === undefined) {
@@ -52,15 +52,15 @@
 	}
 
 	world.faults.begin('two operators', true);
-	world.submit(first, [world.service('reads')], seenVersion(first));
+	world.submit(first, [world.service('reads')], currentVersion(first));
 	world.advance(apart);
-	world.submit(second, [world.service('reads')], seenVersion(second));
+	world.submit(second, [world.service('reads')], currentVersion(second));
 };
 
-const seenVersion = (vm: FleetVm): number => vm.engine.resource('service/reads')?.metadata.version ?? 0;
+const currentVersion = (vm: FleetVm): number => vm.engine.resource('service/reads')?.metadata.version ?? 0;
 
 const sendAgain: FleetApply = (world, [vm = 0, which = 0]) => {
-	const change = pick(world.unknown, which);
+	const change = pick(world.unknownChanges, which);
 	const through = pick(world.vms, vm);
 	if (change !== undefined && through !== undefined) {
 		world.resubmit(through, change);
@@ -68,11 +68,11 @@
 };
 
 const seeLeaving: FleetApply = (world, [vm = 0, server = 0]) => {
-	const seer = pick(world.vms, vm);
-	const identity = pick([...seer?.configuration?.backendServers.keys() ?? []], server);
-	if (seer !== undefined && identity !== undefined) {
+	const observer = pick(world.vms, vm);
+	const identity = pick([...observer?.configuration?.backendServers.keys() ?? []], server);
+	if (observer !== undefined && identity !== undefined) {
 		world.faults.begin('backend server leaves', true);
-		world.seeLeaving(seer, identity);
+		world.reportLeavingSign(observer, identity);
 	}
 };
 
@@ -104,7 +104,7 @@
 		return;
 	}
 
-	world.mark(target.name, 'paused', !target.isPaused);
+	world.recordFault(target.name, 'paused', !target.isPaused);
 	if (target.isPaused) {
 		target.resume(kind === 1);
 	} else {
@@ -128,9 +128,9 @@
 	world.faults.end('one-way cut');
 };
 
-const troubleStore: FleetApply = (world, [kind = 0]) => {
+const disturbStore: FleetApply = (world, [kind = 0]) => {
 	const {store, faults} = world;
-	const troubles: ReadonlyArray<() => void> = [
+	const disturbances: ReadonlyArray<() => void> = [
 		() => {
 			faults.begin('store down');
 			store.isUp = false;
@@ -152,7 +152,7 @@
 			store.stopReplica();
 		},
 	];
-	troubles[kind]?.();
+	disturbances[kind]?.();
 };
 
 const healStore: FleetApply = world => {
@@ -166,59 +166,59 @@
 };
 
 const lagList: FleetApply = (world, [isLagging = 0]) => {
-	world.isListLagging = isLagging === 1;
-	if (world.isListLagging) {
+	world.isVmListLagging = isLagging === 1;
+	if (world.isVmListLagging) {
 		world.faults.begin('lagging list');
 	} else {
 		world.faults.end('lagging list');
 	}
 };
 
-export const fleetTable: ReadonlyArray<CommandKind<FleetWorld>> = [
+export const fleetCommandKinds: ReadonlyArray<CommandKind<FleetWorld>> = [
 	{
-		label: 'declare', weight: 6, most: [9, 2, 4], apply: declare,
+		label: 'declare', weight: 6, maxValues: [9, 2, 4], apply: declare,
 	},
 	{
-		label: 'declareTwice', weight: 3, most: [9, 9, 5], apply: declareTwice,
+		label: 'declareTwice', weight: 3, maxValues: [9, 9, 5], apply: declareTwice,
 	},
 	{
-		label: 'sendAgain', weight: 2, most: [9, 9], apply: sendAgain,
+		label: 'sendAgain', weight: 2, maxValues: [9, 9], apply: sendAgain,
 	},
 	{
-		label: 'seeLeaving', weight: 2, most: [9, 2], apply: seeLeaving,
+		label: 'seeLeaving', weight: 2, maxValues: [9, 2], apply: seeLeaving,
 	},
 	{
-		label: 'wait', weight: 8, most: [1000], apply(world, [milliseconds = 0]) {
+		label: 'wait', weight: 8, maxValues: [1000], apply(world, [milliseconds = 0]) {
 			world.advance(milliseconds);
 		},
 	},
 	{
-		label: 'waitLong', weight: 4, most: [15], apply(world, [seconds = 0]) {
+		label: 'waitLong', weight: 4, maxValues: [15], apply(world, [seconds = 0]) {
 			world.advance(1000 * seconds);
 		},
 	},
 	{
-		label: 'kill', weight: 2, most: [9, 1], apply: kill,
+		label: 'kill', weight: 2, maxValues: [9, 1], apply: kill,
 	},
 	{
-		label: 'replaceAsPlanned', weight: 1, most: [9], apply: replaceAsPlanned,
+		label: 'replaceAsPlanned', weight: 1, maxValues: [9], apply: replaceAsPlanned,
 	},
 	{
-		label: 'pauseOrResume', weight: 4, most: [9, 1], apply: pauseOrResume,
+		label: 'pauseOrResume', weight: 4, maxValues: [9, 1], apply: pauseOrResume,
 	},
 	{
-		label: 'cut', weight: 3, most: [9, 9, 1], apply: cut,
+		label: 'cut', weight: 3, maxValues: [9, 9, 1], apply: cut,
 	},
 	{
-		label: 'healCuts', weight: 2, most: [], apply: healCuts,
+		label: 'healCuts', weight: 2, maxValues: [], apply: healCuts,
 	},
 	{
-		label: 'troubleStore', weight: 4, most: [4], apply: troubleStore,
+		label: 'troubleStore', weight: 4, maxValues: [4], apply: disturbStore,
 	},
 	{
-		label: 'healStore', weight: 3, most: [], apply: healStore,
+		label: 'healStore', weight: 3, maxValues: [], apply: healStore,
 	},
 	{
-		label: 'lagList', weight: 1, most: [1], apply: lagList,
+		label: 'lagList', weight: 1, maxValues: [1], apply: lagList,
 	},
 ];
--- a/src/proof/fuzz/fleet-fuzz.test.ts
+++ b/src/proof/fuzz/fleet-fuzz.test.ts
@@ -6,27 +6,27 @@
 import {FleetWorld} from './fleet-world.ts';
 
 const seed = 20_261_202;
-const histories = 25;
-const longestHistory = 60;
+const historyCount = 25;
+const maxCommands = 60;
 
 describe('fuzzed fleet', () => {
-	it(`keeps the promises under overlapping faults, seed ${seed}`, () => {
+	it(`keeps the guarantees under overlapping faults, seed ${seed}`, () => {
 		const coverage = new FaultCoverage(fleetFaults);
-		fc.assert(fleetProperty(coverage, longestHistory), {seed, numRuns: histories, includeErrorInReport: true});
-		expect(coverage.unmet()).toEqual([]);
+		fc.assert(fleetProperty(coverage, maxCommands), {seed, numRuns: historyCount, includeErrorInReport: true});
+		expect(coverage.uncovered()).toEqual([]);
 	});
 
-	it('spends no share twice when its holder was suspended with a stopped clock', () => {
-		// A VM is suspended for 15 seconds, and its clock with it. Its lease lapses, a new VM takes its share over
-		// and measures. When the first goes on, its clock says that its share has seconds left,
-		// and the store is down, so that nobody tells it otherwise.
+	it('does not use a share twice after its holder was suspended with a stopped clock', () => {
+		// A VM and its clock are suspended for 15 seconds. Its lease expires, and a new VM takes over its share and
+		// sends load probes. After the resumption the share is still valid by the clock of the first VM, and the
+		// store is down, so that the VM cannot learn of the new holder.
 		const world = new FleetWorld(1, new FaultCoverage(fleetFaults));
 		const suspended = world.vms[0]!;
-		world.mark(suspended.name, 'paused', true);
+		world.recordFault(suspended.name, 'paused', true);
 		suspended.pause();
 		world.addVm();
 		world.advance(15_000);
-		world.mark(suspended.name, 'paused', false);
+		world.recordFault(suspended.name, 'paused', false);
 		world.store.isUp = false;
 		suspended.resume(true);
 		world.advance(3000);
--- a/src/proof/fuzz/fleet-vm.ts
+++ b/src/proof/fuzz/fleet-vm.ts
@@ -1,6 +1,6 @@
 /**
- * One VM of the fuzzed fleet: a fleet engine, and in place of the call engine a plain user of what it
- * decides, which spends all that its share allows and gives work to every backend server that it may.
+ * One VM of a `FleetWorld`: a fleet engine, and a simple substitute for the call engine, which sends as many load
+ * probes as its share allows, and calls to every backend server that is not leaving.
  */
 import {type CallConfiguration, type FleetShares} from '../../common/calls/types.ts';
 import {
@@ -10,28 +10,28 @@
 import {type HistoryEvent} from '../oracle/types.ts';
 import {type Timeline} from './timeline.ts';
 
-/** What a VM needs of the world round it. */
-export type FleetSurroundings = {
+/** Services that the simulated world provides to a VM. */
+export type FleetEnvironment = {
 	readonly timeline: Timeline;
 	record(event: HistoryEvent): void;
-	/** A VM acts on a configuration from now on. */
+	/** Called when a VM starts to use a configuration. */
 	configured(configuration: CallConfiguration): void;
 	send(from: FleetVm, effect: Extract<FleetEffect, {type: 'send'}>): void;
 	store(from: FleetVm, operation: StoreOperation, reply: (reply: StoreReply) => void): void;
 };
 
-/** What one backend server may be measured by the whole fleet, and in which time. */
+/** Load probe budget of a backend server for the whole fleet: the number of load probes per window. */
 export const budgetCalls = 40;
 export const budgetWindowMilliseconds = 2000;
 
-const workMilliseconds = 1000;
-const spendMilliseconds = 50;
-/** A woken VM handles waiting events before it places calls; the guard round the call engine sees to that. */
+const callIntervalMilliseconds = 1000;
+const loadProbeIntervalMilliseconds = 50;
+/** Pause before new calls after a resumption: a resumed VM handles its queued events first, as `WakeGuard` enforces for call engines. */
 const catchUpMilliseconds = 500;
-const historyReach = 20;
+const historyLength = 20;
 
-/** Clocks with offsets round differently; a timer must not miss its own instant for that. */
-const rounding = 1e-6;
+/** Adding the clock offset rounds times differently, so that a timer may fire slightly before its due time. */
+const roundingToleranceMilliseconds = 1e-6;
 
 export class FleetVm {
 	readonly name: string;
@@ -39,29 +39,29 @@
 	readonly engine: FleetEngine;
 	stage: FleetStage = 'starting';
 	configuration: CallConfiguration | undefined;
-	/** Names of the signs of leaving that it has been told. */
-	readonly signs = new Set<string>();
-	private readonly _world: FleetSurroundings;
+	/** Received signs of leaving, each as identity and instance separated by a space. */
+	readonly leavingSigns = new Set<string>();
+	private readonly _environment: FleetEnvironment;
 	private readonly _answers = new Map<number, (answer: OperatorAnswer) => void>();
-	private readonly _spent: number[] = [];
+	private readonly _loadProbesSentAt: number[] = [];
 	private _shares: FleetShares | undefined;
 	private _clockOffset: number;
 	private _backlog: Array<() => void> | undefined;
 	private _pausedAt = 0;
 	private _lastRequestId = 0;
-	private _works = 0;
-	private _worksAgainAt = 0;
+	private _callCount = 0;
+	private _placesCallsFrom = 0;
 
-	constructor(name: string, engine: FleetEngine, clockOffset: number, world: FleetSurroundings) {
+	constructor(name: string, engine: FleetEngine, clockOffset: number, environment: FleetEnvironment) {
 		this.name = name;
 		this.address = `${name}:1`;
 		this.engine = engine;
 		this._clockOffset = clockOffset;
-		this._world = world;
+		this._environment = environment;
 	}
 
 	get now(): number {
-		return this._world.timeline.now + this._clockOffset;
+		return this._environment.timeline.now + this._clockOffset;
 	}
 
 	get isPaused(): boolean {
@@ -72,21 +72,21 @@
 		return this.stage === 'ended';
 	}
 
-	/** It knows a configuration and gives service. */
+	/** True from the end of the start until the end of the VM. */
 	get isServing(): boolean {
 		return !this.isEnded && this.stage !== 'starting';
 	}
 
 	start(): void {
 		this.feed({type: 'started'});
-		this._work();
-		this._spend();
+		this._sendCalls();
+		this._sendLoadProbes();
 	}
 
 	feed(event: FleetEvent): void {
-		this._whenRunning(() => {
+		this._runOrDefer(() => {
 			for (const effect of this.engine.handle(event, this.now)) {
-				this._carryOut(effect);
+				this._execute(effect);
 			}
 
 			this._scheduleTick();
@@ -94,7 +94,7 @@
 	}
 
 	change(change: OperatorChange, onAnswer: (answer: OperatorAnswer) => void): void {
-		this._whenRunning(() => {
+		this._runOrDefer(() => {
 			this._answers.set(++this._lastRequestId, onAnswer);
 			this.feed({type: 'operator-change', requestId: this._lastRequestId, change});
 		});
@@ -102,32 +102,32 @@
 
 	pause(): void {
 		this._backlog = [];
-		this._pausedAt = this._world.timeline.now;
+		this._pausedAt = this._environment.timeline.now;
 	}
 
-	/** Goes on; `isClockStopped` as after a suspension by the hypervisor, told before anything else. */
+	/** Resumes the VM. With `isClockStopped` its clock has stood still, as after a suspension by the hypervisor; the engine receives this as the first event. */
 	resume(isClockStopped: boolean): void {
 		const backlog = this._backlog ?? [];
 		this._backlog = undefined;
-		this._worksAgainAt = this._world.timeline.now + catchUpMilliseconds;
+		this._placesCallsFrom = this._environment.timeline.now + catchUpMilliseconds;
 		if (isClockStopped) {
-			const milliseconds = this._world.timeline.now - this._pausedAt;
+			const milliseconds = this._environment.timeline.now - this._pausedAt;
 			this._clockOffset -= milliseconds;
 			this.feed({type: 'woke', milliseconds});
 		}
 
 		this._tick();
 		for (const task of backlog) {
-			this._whenRunning(task);
+			this._runOrDefer(task);
 		}
 	}
 
 	kill(): void {
-		this._enter('ended');
+		this._setStage('ended');
 		this._backlog = undefined;
 	}
 
-	private _whenRunning(task: () => void): void {
+	private _runOrDefer(task: () => void): void {
 		if (this._backlog !== undefined) {
 			this._backlog.push(task);
 		} else if (!this.isEnded) {
@@ -137,7 +137,7 @@
 
 	private _tick(): void {
 		const due = this.engine.nextWakeUp();
-		if (due !== undefined && due <= this.now + rounding && !this.isPaused) {
+		if (due !== undefined && due <= this.now + roundingToleranceMilliseconds && !this.isPaused) {
 			this.feed({type: 'tick'});
 		}
 	}
@@ -145,23 +145,23 @@
 	private _scheduleTick(): void {
 		const due = this.engine.nextWakeUp();
 		if (due !== undefined) {
-			this._world.timeline.after(Math.max(rounding, due - this.now), () => {
+			this._environment.timeline.after(Math.max(roundingToleranceMilliseconds, due - this.now), () => {
 				this._tick();
 			});
 		}
 	}
 
-	private _carryOut(effect: FleetEffect): void {
+	private _execute(effect: FleetEffect): void {
 		switch (effect.type) {
 			case 'store': {
-				this._world.store(this, effect.operation, reply => {
+				this._environment.store(this, effect.operation, reply => {
 					this.feed({type: 'store-replied', requestId: effect.requestId, reply});
 				});
 				break;
 			}
 
 			case 'send': {
-				this._world.send(this, effect);
+				this._environment.send(this, effect);
 				break;
 			}
 
@@ -176,7 +176,7 @@
 			}
 
 			case 'backend-server-leaving': {
-				this.signs.add(`${effect.sign.identity} ${effect.sign.instance}`);
+				this.leavingSigns.add(`${effect.sign.identity} ${effect.sign.instance}`);
 				break;
 			}
 
@@ -186,7 +186,7 @@
 			}
 
 			case 'stage': {
-				this._enter(effect.stage);
+				this._setStage(effect.stage);
 				break;
 			}
 
@@ -194,59 +194,59 @@
 		}
 	}
 
-	private _enter(stage: FleetStage): void {
+	private _setStage(stage: FleetStage): void {
 		if (stage === 'serving') {
-			this._world.record({type: 'vm-serves', at: this._world.timeline.now, vm: this.name});
+			this._environment.record({type: 'vm-serves', at: this._environment.timeline.now, vm: this.name});
 		} else if (stage === 'ended') {
-			this._world.record({type: 'vm-ended', at: this._world.timeline.now, vm: this.name});
+			this._environment.record({type: 'vm-ended', at: this._environment.timeline.now, vm: this.name});
 		}
 
 		this.stage = stage;
 	}
 
 	private _configure(configuration: CallConfiguration): void {
-		const {timeline} = this._world;
+		const {timeline} = this._environment;
 		this.configuration = configuration;
-		this._world.configured(configuration);
+		this._environment.configured(configuration);
 		const content = JSON.stringify([[...configuration.services], [...configuration.backendServers].toSorted(([one], [other]) => one < other ? -1 : 1)]);
-		this._world.record({
+		this._environment.record({
 			type: 'vm-acts-on', at: timeline.now, vm: this.name, version: configuration.version, content,
 		});
-		for (const {version, operationId} of this.engine.history(historyReach)) {
-			this._world.record({
+		for (const {version, operationId} of this.engine.history(historyLength)) {
+			this._environment.record({
 				type: 'version-seen', at: timeline.now, vm: this.name, version, change: operationId,
 			});
 		}
 	}
 
-	/** Gives one call to each backend server that is not known to leave. */
-	private _work(): void {
-		this._world.timeline.after(workMilliseconds, () => {
-			this._work();
+	/** Records one call to each backend server that is not leaving by the configuration or a received sign. */
+	private _sendCalls(): void {
+		this._environment.timeline.after(callIntervalMilliseconds, () => {
+			this._sendCalls();
 		});
-		if (this.isPaused || !this.isServing || this._world.timeline.now < this._worksAgainAt) {
+		if (this.isPaused || !this.isServing || this._environment.timeline.now < this._placesCallsFrom) {
 			return;
 		}
 
 		for (const [identity, {isLeaving}] of this.configuration?.backendServers ?? []) {
-			if (!isLeaving && !this.signs.has(`${identity} ${identity}-1`)) {
-				const call = `${this.name}-${++this._works}`;
-				const at = this._world.timeline.now;
-				this._world.record({
-					type: 'call-sent', at, call, vm: this.name, isIdempotent: true, due: at + 1,
+			if (!isLeaving && !this.leavingSigns.has(`${identity} ${identity}-1`)) {
+				const call = `${this.name}-${++this._callCount}`;
+				const at = this._environment.timeline.now;
+				this._environment.record({
+					type: 'call-sent', at, call, vm: this.name, isIdempotent: true, dueAt: at + 1,
 				});
-				this._world.record({
+				this._environment.record({
 					type: 'run-began', at, run: call, call, backendServer: identity,
 				});
-				this._world.record({type: 'answer-broken', at, call});
+				this._environment.record({type: 'answer-broken', at, call});
 			}
 		}
 	}
 
-	/** Measures one backend server as often as the share allows, all at once whenever it may. */
-	private _spend(): void {
-		this._world.timeline.after(spendMilliseconds, () => {
-			this._spend();
+	/** Sends load probes to one backend server as often as the share allows, in bursts. */
+	private _sendLoadProbes(): void {
+		this._environment.timeline.after(loadProbeIntervalMilliseconds, () => {
+			this._sendLoadProbes();
 		});
 		const {now} = this;
 		const shares = this._shares;
@@ -254,14 +254,14 @@
 			return;
 		}
 
-		while (this._spent[0] !== undefined && this._spent[0] <= now - budgetWindowMilliseconds) {
-			this._spent.shift();
+		while (this._loadProbesSentAt[0] !== undefined && this._loadProbesSentAt[0] <= now - budgetWindowMilliseconds) {
+			this._loadProbesSentAt.shift();
 		}
 
 		const allowed = Math.floor((shares.loadProbeFraction * budgetCalls) + 1e-9);
-		while (this._spent.length < allowed) {
-			this._spent.push(now);
-			this._world.record({type: 'measured', at: this._world.timeline.now, backendServer: 'measured'});
+		while (this._loadProbesSentAt.length < allowed) {
+			this._loadProbesSentAt.push(now);
+			this._environment.record({type: 'measured', at: this._environment.timeline.now, backendServer: 'measured'});
 		}
 	}
 }
--- a/src/proof/fuzz/fleet-world.ts
+++ b/src/proof/fuzz/fleet-world.ts
@@ -1,4 +1,4 @@
-/** Several fleet engines, a fake store, messages that can be cut, operators: one deterministic world from one seed. */
+/** A world for fuzzing fleet engines: several VMs, a fake store, a network with cuts, and operators. Deterministic for a seed. */
 import {type CallConfiguration} from '../../common/calls/types.ts';
 import {FleetCoordinator} from '../../common/fleet/fleet-coordinator.ts';
 import {type PeerMessage} from '../../common/fleet/peer-messages.ts';
@@ -8,32 +8,32 @@
 import {type ResourceKey, resourceSchema, type Resource} from '../../common/model/resources.ts';
 import {type RandomSource} from '../../common/model/units.ts';
 import {seededRandom} from '../../common/random/random.ts';
-import {judge} from '../oracle/oracle.ts';
+import {findViolations} from '../oracle/oracle.ts';
 import {type HistoryEvent} from '../oracle/types.ts';
 import {type FaultCoverage} from './fault-coverage.ts';
-import {FaultLog} from './fault-log.ts';
+import {ActiveFaults} from './fault-log.ts';
 import {FakeStore} from './fake-store.ts';
 import {
-	budgetCalls, budgetWindowMilliseconds, FleetVm, type FleetSurroundings,
+	budgetCalls, budgetWindowMilliseconds, FleetVm, type FleetEnvironment,
 } from './fleet-vm.ts';
 import {Network} from './network.ts';
 import {Timeline} from './timeline.ts';
 
-/** Makes the engine under test. */
+/** Creates the engine under test. */
 export type FleetEngineFactory = (settings: FleetSettings, random: RandomSource, hash: HashFunction) => FleetEngine;
 
 export const storeName = 'store';
 const vmCount = 4;
-/** As many as VMs: every share is in use, so one spent twice shows in the sum. */
+/** Equal to the number of VMs: all shares are in use, so that a share used twice exceeds the budget. */
 const shareSlots = 4;
 const settleMilliseconds = 60_000;
-const listMilliseconds = 2000;
-const usualLagMilliseconds = 5000;
+const vmListIntervalMilliseconds = 2000;
+const normalLagMilliseconds = 5000;
 const longLagMilliseconds = 60_000;
-const unreachableMilliseconds = 300;
-const isolationMilliseconds = 100;
+const unreachableDelayMilliseconds = 300;
+const isolationCheckMilliseconds = 100;
 
-/** A polynomial modulo a prime: spread enough for a handful of names. */
+/** Polynomial hash modulo a prime; distributes a few names well enough. */
 function hashText(text: string): number {
 	let hash = 7;
 	for (const character of text) {
@@ -48,34 +48,34 @@
 	readonly network = new Network();
 	readonly history: HistoryEvent[] = [];
 	readonly store: FakeStore;
-	readonly faults: FaultLog;
-	isListLagging = false;
-	/** Changes whose operators were told "unknown", to be sent again. */
-	readonly unknown: OperatorChange[] = [];
-	private readonly _all: FleetVm[] = [];
-	private readonly _lists: Array<{readonly at: number; readonly addresses: readonly string[]}> = [];
+	readonly faults: ActiveFaults;
+	isVmListLagging = false;
+	/** Changes that were answered with `unknown`; operators may send them again. */
+	readonly unknownChanges: OperatorChange[] = [];
+	private readonly _allVms: FleetVm[] = [];
+	private readonly _vmLists: Array<{readonly at: number; readonly addresses: readonly string[]}> = [];
 	private readonly _random: RandomSource;
 	private readonly _makeEngine: FleetEngineFactory;
-	private readonly _surroundings: FleetSurroundings;
+	private readonly _environment: FleetEnvironment;
 	private readonly _isolated = new Set<FleetVm>();
-	private readonly _seenLeaving = new Set<string>();
-	private _newest: CallConfiguration | undefined;
+	private readonly _reportedLeaving = new Set<string>();
+	private _newestConfiguration: CallConfiguration | undefined;
 	private _isBusyLoop = false;
 	private _vmNumber = 0;
-	private _changes = 0;
+	private _changeCount = 0;
 
 	constructor(seed: number, coverage: FaultCoverage, makeEngine: FleetEngineFactory = (settings, random, hash) => new FleetCoordinator(settings, random, hash)) {
 		this._random = seededRandom(seed);
 		this._makeEngine = makeEngine;
-		this.faults = new FaultLog(coverage, this.timeline);
+		this.faults = new ActiveFaults(coverage, this.timeline);
 		this.store = new FakeStore(this.timeline, () => this._random.next());
-		this._surroundings = {
+		this._environment = {
 			timeline: this.timeline,
 			record: event => {
 				this.history.push(event);
 			},
 			configured: configuration => {
-				this._takeConfigured(configuration);
+				this._handleConfigured(configuration);
 			},
 			send: (from, {to, message}) => {
 				this._send(from, to, message);
@@ -91,7 +91,7 @@
 			this.addVm();
 		}
 
-		this._keepLists();
+		this._updateVmLists();
 		this._watchIsolation();
 		coverage.countHistory();
 		this.advance(3000);
@@ -101,7 +101,7 @@
 
 	/** VMs that have not ended. */
 	get vms(): readonly FleetVm[] {
-		return this._all.filter(({isEnded}) => !isEnded);
+		return this._allVms.filter(({isEnded}) => !isEnded);
 	}
 
 	addVm(): void {
@@ -119,8 +119,8 @@
 			addressTtlMilliseconds: 3000,
 			minSubsetSize: 16,
 		}, seededRandom(number), hashText);
-		const vm = new FleetVm(name, engine, Math.floor(this._random.next() * 1e6), this._surroundings);
-		this._all.push(vm);
+		const vm = new FleetVm(name, engine, Math.floor(this._random.next() * 1e6), this._environment);
+		this._allVms.push(vm);
 		vm.start();
 	}
 
@@ -128,15 +128,15 @@
 		this._isBusyLoop ||= !this.timeline.advance(milliseconds);
 	}
 
-	mark(party: string, fault: string, isBegin: boolean): void {
+	recordFault(party: string, fault: string, isBeginning: boolean): void {
 		this.history.push({
-			type: isBegin ? 'fault-began' : 'fault-ended', at: this.timeline.now, party, fault,
+			type: isBeginning ? 'fault-began' : 'fault-ended', at: this.timeline.now, party, fault,
 		});
 	}
 
-	/** An operator's change through a VM; every one is unlike all others. */
+	/** Submits a new change through a VM, with an operation identity of its own. */
 	submit(vm: FleetVm, resources: readonly Resource[], expectedVersion?: number): void {
-		const operationId = `change-${++this._changes}`;
+		const operationId = `change-${++this._changeCount}`;
 		this.resubmit(vm, {
 			operationId,
 			who: 'operator',
@@ -150,7 +150,7 @@
 
 	remove(vm: FleetVm, key: ResourceKey): void {
 		this.resubmit(vm, {
-			operationId: `change-${++this._changes}`, who: 'operator', note: '', when: '2026-01-01T00:00:00Z', mutations: [{type: 'delete', key, expectedVersion: undefined}],
+			operationId: `change-${++this._changeCount}`, who: 'operator', note: '', when: '2026-01-01T00:00:00Z', mutations: [{type: 'delete', key, expectedVersion: undefined}],
 		});
 	}
 
@@ -165,9 +165,9 @@
 					...(replaces?.type === 'put' && {replaces: `${replaces.resource.name} of version ${replaces.expectedVersion}`}),
 				});
 			} else if (answer.type === 'unknown') {
-				this.unknown.push(change);
-			} else if (answer.type === 'refused' && answer.failure.kind === 'store-unavailable' && this.unknown.includes(change)) {
-				// Of a change sent again this tells that it could not be looked up: it is as unknown as before.
+				this.unknownChanges.push(change);
+			} else if (answer.type === 'refused' && answer.failure.kind === 'store-unavailable' && this.unknownChanges.includes(change)) {
+				// A change sent again could not be looked up in the store, so its outcome is still unknown.
 
 			} else {
 				this.history.push({type: 'change-refused', at, change: change.operationId});
@@ -175,23 +175,23 @@
 		});
 	}
 
-	/** A service with a field that names the change. */
+	/** A service whose timeout differs with each change. */
 	service(name: string): Resource {
 		return resourceSchema.parse({
-			kind: 'service', name, timeoutMilliseconds: 1000 + this._changes, measuring: {windowMilliseconds: budgetWindowMilliseconds},
+			kind: 'service', name, timeoutMilliseconds: 1000 + this._changeCount, measuring: {windowMilliseconds: budgetWindowMilliseconds},
 		});
 	}
 
 	backendServer(name: string, isLeaving: boolean): Resource {
 		return resourceSchema.parse({
-			kind: 'backend-server', name, service: 'reads', address: '127.0.0.1', port: 9000 + this._changes, dataCentre: 'north', isLeaving,
+			kind: 'backend-server', name, service: 'reads', address: '127.0.0.1', port: 9000 + this._changeCount, dataCentre: 'north', isLeaving,
 		});
 	}
 
-	/** A process of the backend server shows a VM that it leaves. */
-	seeLeaving(vm: FleetVm, identity: string): void {
+	/** The VM observes in an answer that a process of the backend server leaves. */
+	reportLeavingSign(vm: FleetVm, identity: string): void {
 		if (!vm.isPaused) {
-			this._seenLeaving.add(identity);
+			this._reportedLeaving.add(identity);
 			this.history.push({type: 'leaving-began', at: this.timeline.now, backendServer: identity});
 			vm.feed({type: 'leaving-sign', sign: {identity, instance: `${identity}-1`, source: 'answer'}});
 		}
@@ -204,30 +204,30 @@
 		this.store.answersToLose = 0;
 		this.store.writesToLose = 0;
 		this.store.resumeReplica();
-		this.isListLagging = false;
+		this.isVmListLagging = false;
 		for (const vm of this.vms.filter(({isPaused}) => isPaused)) {
-			this.mark(vm.name, 'paused', false);
+			this.recordFault(vm.name, 'paused', false);
 			vm.resume(false);
 		}
 
 		this.faults.clear();
 	}
 
-	/** Ends every fault, waits, and gives all that is wrong. */
+	/** Ends all faults, advances the time, and returns all violations, differences between the VMs and busy loops. */
 	settle(): readonly string[] {
 		this.heal();
 		this.advance(settleMilliseconds);
 		const serving = this.vms.filter(({isServing}) => isServing);
 		const versions = new Set(serving.map(({configuration}) => configuration?.version));
 		return [
-			...judge(this.history).map(({promise, at, message}) => `${promise} at ${at}: ${message}`),
-			...(versions.size > 1 ? [`VMs act on versions ${[...versions].join(', ')} a minute after all faults`] : []),
-			...this.vms.filter(({stage}) => stage === 'starting').map(({name}) => `${name} does not serve a minute after all faults`),
-			...(this._isBusyLoop ? ['an engine asks for ticks without end'] : []),
+			...findViolations(this.history).map(({guarantee, at, message}) => `${guarantee} at ${at}: ${message}`),
+			...(versions.size > 1 ? [`VMs use different versions ${[...versions].join(', ')} a minute after the end of all faults`] : []),
+			...this.vms.filter(({stage}) => stage === 'starting').map(({name}) => `${name} does not serve a minute after the end of all faults`),
+			...(this._isBusyLoop ? ['an engine schedules ticks in a busy loop'] : []),
 		];
 	}
 
-	/** A party of the network by number: VMs first, then the store. */
+	/** Network party by number (modulo the count): VMs first, then the store. */
 	party(position: number): string {
 		const parties = [...this.vms.map(({name}) => name), storeName];
 		return parties[position % parties.length]!;
@@ -237,14 +237,14 @@
 		return [this.service('reads'), this.backendServer('reads-0', false), this.backendServer('reads-1', false)];
 	}
 
-	/** The first VM that acts on a newer version shows what has begun to leave by it, and what is back. */
-	private _takeConfigured(configuration: CallConfiguration): void {
-		const before = this._newest;
+	/** When the first VM uses a newer version, records which backend servers begin to leave or return by this version. */
+	private _handleConfigured(configuration: CallConfiguration): void {
+		const before = this._newestConfiguration;
 		if (before !== undefined && configuration.version <= before.version) {
 			return;
 		}
 
-		this._newest = configuration;
+		this._newestConfiguration = configuration;
 		const {now: at} = this.timeline;
 		for (const [backendServer, {isLeaving}] of before?.backendServers ?? []) {
 			const isLeavingNow = configuration.backendServers.get(backendServer)?.isLeaving ?? true;
@@ -255,17 +255,17 @@
 	}
 
 	private _send(from: FleetVm, to: string, message: PeerMessage): void {
-		const target = this._all.find(({address}) => address === to);
+		const target = this._allVms.find(({address}) => address === to);
 		const isLost = target === undefined || target.isEnded || !this.network.canPass(from.name, target.name);
 		const isNoticed = isLost || !this.network.canPass(target.name, from.name);
 		if (isNoticed && (target?.isEnded !== false || this._random.next() < 0.5)) {
-			this.timeline.after(unreachableMilliseconds, () => {
+			this.timeline.after(unreachableDelayMilliseconds, () => {
 				from.feed({type: 'peer-unreachable', to});
 			});
 		}
 
 		if (!isLost) {
-			// A copy, as after a wire: no VM may change what another holds.
+			// A copy, as over a network, so that VMs share no objects.
 			const copy = structuredClone(message);
 			this.timeline.after(0.5 + (2 * this._random.next()), () => {
 				target.feed({type: 'peer-message', message: copy});
@@ -273,9 +273,9 @@
 		}
 	}
 
-	private _useStore(from: FleetVm, operation: Parameters<FleetSurroundings['store']>[1], reply: Parameters<FleetSurroundings['store']>[2]): void {
+	private _useStore(from: FleetVm, operation: Parameters<FleetEnvironment['store']>[1], reply: Parameters<FleetEnvironment['store']>[2]): void {
 		if (!this.network.canPass(from.name, storeName)) {
-			this.timeline.after(unreachableMilliseconds, () => {
+			this.timeline.after(unreachableDelayMilliseconds, () => {
 				reply({type: 'unavailable'});
 			});
 			return;
@@ -287,23 +287,24 @@
 		});
 	}
 
-	private _keepLists(): void {
-		this._lists.push({at: this.timeline.now, addresses: this.vms.map(({address}) => address)});
-		const lag = this.isListLagging ? longLagMilliseconds : usualLagMilliseconds;
-		const seen = this._lists.findLast(({at}) => at <= this.timeline.now - lag) ?? this._lists[0]!;
+	private _updateVmLists(): void {
+		this._vmLists.push({at: this.timeline.now, addresses: this.vms.map(({address}) => address)});
+		const lag = this.isVmListLagging ? longLagMilliseconds : normalLagMilliseconds;
+		const seen = this._vmLists.findLast(({at}) => at <= this.timeline.now - lag) ?? this._vmLists[0]!;
 		for (const vm of this.vms) {
 			vm.feed({type: 'vm-list', vms: seen.addresses.map(address => ({address, dataCentre: 'north', state: 'live'}))});
 		}
 
-		this.timeline.after(listMilliseconds, () => {
-			this._keepLists();
+		this.timeline.after(vmListIntervalMilliseconds, () => {
+			this._updateVmLists();
 		});
 	}
 
 	/**
-	 * A VM is isolated while it can't talk, over whatever others, with the store and with everybody else: it
-	 * can then neither tell nor be told. With the store out of reach of all, updates must come from VMs alone, and
-	 * signs of leaving never go through the store; what only a paused or dead VM has seen can't be told.
+	 * Records a VM as isolated while it cannot exchange messages with the store and all running VMs, directly or through
+	 * others. If the store is unusable, a VM is also isolated while it reaches no running VM with the newest configuration.
+	 * Signs of leaving never go through the store: a VM is also isolated while a sign is at no running VM that it reaches
+	 * without the store, for instance because only a paused or ended VM received the sign.
 	 */
 	private _watchIsolation(): void {
 		const running = this.vms.filter(({isPaused}) => !isPaused);
@@ -312,13 +313,13 @@
 		const newest = Math.max(0, ...this.history.map(event => event.type === 'change-accepted' ? event.version : 0));
 		for (const vm of this.vms) {
 			const reached = this._reachedFrom(vm.name, parties);
-			const knowsNewest = running.some(({name, configuration}) => reached.has(name) && (configuration?.version ?? 0) >= newest);
-			const byPeers = this._reachedFrom(vm.name, running.map(({name}) => name));
-			const heard = new Set(running.filter(({name}) => byPeers.has(name)).flatMap(({signs}) => [...signs]));
-			const canHearAll = [...this._seenLeaving].every(identity => heard.has(`${identity} ${identity}-1`) || this._newest?.backendServers.has(identity) !== true);
-			const isIsolated = parties.some(name => !reached.has(name)) || (!isStoreUsable && !knowsNewest) || !canHearAll;
+			const isNewestReachable = running.some(({name, configuration}) => reached.has(name) && (configuration?.version ?? 0) >= newest);
+			const reachedByPeers = this._reachedFrom(vm.name, running.map(({name}) => name));
+			const reachableSigns = new Set(running.filter(({name}) => reachedByPeers.has(name)).flatMap(({leavingSigns}) => [...leavingSigns]));
+			const areSignsReachable = [...this._reportedLeaving].every(identity => reachableSigns.has(`${identity} ${identity}-1`) || this._newestConfiguration?.backendServers.has(identity) !== true);
+			const isIsolated = parties.some(name => !reached.has(name)) || (!isStoreUsable && !isNewestReachable) || !areSignsReachable;
 			if (isIsolated !== this._isolated.has(vm)) {
-				this.mark(vm.name, 'isolated', isIsolated);
+				this.recordFault(vm.name, 'isolated', isIsolated);
 				if (isIsolated) {
 					this._isolated.add(vm);
 				} else {
@@ -327,7 +328,7 @@
 			}
 		}
 
-		this.timeline.after(isolationMilliseconds, () => {
+		this.timeline.after(isolationCheckMilliseconds, () => {
 			this._watchIsolation();
 		});
 	}
@@ -337,7 +338,7 @@
 		for (let size = 0; size < reached.size;) {
 			size = reached.size;
 			for (const party of parties) {
-				if ([...reached].some(one => this.network.canTalk(one, party))) {
+				if ([...reached].some(one => this.network.canPassBothWays(one, party))) {
 					reached.add(party);
 				}
 			}
--- a/src/proof/fuzz/main.ts
+++ b/src/proof/fuzz/main.ts
@@ -1,6 +1,6 @@
 /**
- * Long fuzzing: `node --import=tsx src/proof/fuzz/main.ts --seconds N --seed S [--only calls|fleet]`.
- * Prints the seed, how much was run, and on a failure the shrunk commands.
+ * Runs the fuzz tests for a given time: `node --import=tsx src/proof/fuzz/main.ts --seconds N --seed S [--only calls|fleet]`.
+ * Prints the first seed, the numbers of histories and commands and the fault coverage; for a failure the seed and the shrunk commands.
  */
 import process from 'node:process';
 import fc from 'fast-check';
@@ -13,25 +13,25 @@
 
 type Options = {readonly seconds: number; readonly seed: number; readonly only?: string};
 
-const parts = {
+const targets = {
 	calls: {
-		property: callProperty, faults: callFaults, longestHistory: 150, historiesOfRound: 100,
+		property: callProperty, faults: callFaults, maxCommands: 150, historiesPerRound: 100,
 	},
 	fleet: {
-		property: fleetProperty, faults: fleetFaults, longestHistory: 60, historiesOfRound: 10,
+		property: fleetProperty, faults: fleetFaults, maxCommands: 60, historiesPerRound: 10,
 	},
 };
-type PartName = keyof typeof parts;
-const partNames: readonly PartName[] = ['calls', 'fleet'];
+type TargetName = keyof typeof targets;
+const targetNames: readonly TargetName[] = ['calls', 'fleet'];
 
-function runOne(name: PartName, options: Options): boolean {
-	const {property, faults, longestHistory, historiesOfRound} = parts[name];
+function fuzzTarget(name: TargetName, options: Options): boolean {
+	const {property, faults, maxCommands, historiesPerRound} = targets[name];
 	const coverage = new FaultCoverage(faults);
 	const end = performance.now() + (1000 * options.seconds);
 	for (let {seed} = options; performance.now() < end; seed++) {
-		const result = fc.check(property(coverage, longestHistory), {seed, numRuns: historiesOfRound, endOnFailure: false});
+		const result = fc.check(property(coverage, maxCommands), {seed, numRuns: historiesPerRound, endOnFailure: false});
 		if (result.failed) {
-			console.log(`${name}: FAILED with seed ${seed} (--seed ${seed} begins with it)\n${fc.defaultReportMessage(result) ?? ''}\n${String(result.errorInstance)}`);
+			console.log(`${name}: FAILED with seed ${seed} (repeat with --seed ${seed})\n${fc.defaultReportMessage(result) ?? ''}\n${String(result.errorInstance)}`);
 			return false;
 		}
 	}
@@ -41,11 +41,11 @@
 }
 
 sade('fuzz', true)
-	.option('--seconds', 'How long for each part', 60)
-	.option('--seed', 'First seed', 1)
-	.option('--only', 'calls or fleet')
+	.option('--seconds', 'Duration of each part in seconds', 60)
+	.option('--seed', 'Seed of the first round; each round increments it', 1)
+	.option('--only', 'Run only this part: calls or fleet')
 	.action((options: Options) => {
-		const names = partNames.filter(name => options.only === undefined || options.only === name);
-		process.exitCode = names.map(name => runOne(name, options)).every(Boolean) ? 0 : 1;
+		const names = targetNames.filter(name => options.only === undefined || options.only === name);
+		process.exitCode = names.map(name => fuzzTarget(name, options)).every(Boolean) ? 0 : 1;
 	})
 	.parse(process.argv);
--- a/src/proof/fuzz/network.ts
+++ b/src/proof/fuzz/network.ts
@@ -1,4 +1,4 @@
-/** Which party can send to which. A cut loses what is sent; it may be one-way. */
+/** Simulated network. A cut loses all messages from one party to another, in one direction or both. */
 
 export class Network {
 	private readonly _cuts = new Set<string>();
@@ -15,8 +15,7 @@
 		return !this._cuts.has(`${from}>${to}`);
 	}
 
-	/** Both ways. */
-	canTalk(one: string, other: string): boolean {
+	canPassBothWays(one: string, other: string): boolean {
 		return this.canPass(one, other) && this.canPass(other, one);
 	}
 }
--- a/src/proof/fuzz/timeline.ts
+++ b/src/proof/fuzz/timeline.ts
@@ -1,17 +1,17 @@
-/** Simulated time: tasks run in the order of their times, and those of one time in the order of their making. */
+/** Simulated time. Tasks run in the order of their due times; tasks with the same due time run in the order of their creation. */
 
 type Task = {readonly at: number; readonly run: () => void};
 
-/** A party that asks for this many tasks within one instant is taken to be in a busy loop. */
-const busyLoopTasks = 20_000;
+/** More tasks than this within one instant are treated as a busy loop. */
+const maxTasksPerInstant = 20_000;
 
 export class Timeline {
 	private readonly _tasks: Task[] = [];
 	private _now = 0;
-	/** Start of the tasks that are counted as one instant. */
-	private _instant = 0;
+	/** Start of the current instant; tasks up to 0.01 ms later count as part of it. */
+	private _instantStart = 0;
 
-	/** Milliseconds since the start; what the oracle's observer sees. */
+	/** Milliseconds since the start. This is the clock of the recorded history. */
 	get now(): number {
 		return this._now;
 	}
@@ -22,19 +22,19 @@
 		this._tasks.splice(position + 1, 0, {at, run});
 	}
 
-	/** Runs all that is due within the time given. False if a party keeps asking for more at one instant. */
+	/** Advances the time and runs all tasks that become due. Stops at a busy loop and returns false. */
 	advance(milliseconds: number): boolean {
 		const until = this._now + milliseconds;
 		let tasksAtInstant = 0;
 		for (let task = this._tasks[0]; task !== undefined && task.at <= until; task = this._tasks[0]) {
-			tasksAtInstant = task.at > this._instant + 0.01 ? 0 : tasksAtInstant + 1;
-			if (tasksAtInstant > busyLoopTasks) {
+			tasksAtInstant = task.at > this._instantStart + 0.01 ? 0 : tasksAtInstant + 1;
+			if (tasksAtInstant > maxTasksPerInstant) {
 				return false;
 			}
 
 			this._tasks.shift();
 			this._now = task.at;
-			this._instant = tasksAtInstant === 0 ? task.at : this._instant;
+			this._instantStart = tasksAtInstant === 0 ? task.at : this._instantStart;
 			task.run();
 		}
 
--- a/src/proof/fuzz/world-command.ts
+++ b/src/proof/fuzz/world-command.ts
@@ -1,24 +1,24 @@
-/** One command over a fuzzed world, with its numbers, printed as it can be read. */
+/** fast-check commands for a fuzzed world. A failed history is printed as a list of command labels with their numbers. */
 import fc from 'fast-check';
 import {type FaultCoverage} from './fault-coverage.ts';
 
-/** The worlds check themselves at the end; no model is needed between commands. */
-export type NoModel = Record<string, never>;
+/** Worlds are checked at the end of a history, so the commands need no model. */
+export type EmptyModel = Record<string, never>;
 
-export type Apply<World> = (world: World, numbers: readonly number[]) => void;
+export type ApplyCommand<World> = (world: World, numbers: readonly number[]) => void;
 
-/** A kind of command: how often it is drawn, and the largest of each of its numbers. */
+/** A kind of command: its weight in the random choice, and the inclusive maximum of each of its numbers. */
 export type CommandKind<World> = {
 	readonly label: string;
 	readonly weight: number;
-	readonly most: readonly number[];
-	readonly apply: Apply<World>;
+	readonly maxValues: readonly number[];
+	readonly apply: ApplyCommand<World>;
 };
 
-/** The item at a position, counted round and round. */
+/** The item at `position` modulo the length; undefined if there are no items. */
 export const pick = <T>(items: readonly T[], position: number): T | undefined => items[position % Math.max(1, items.length)];
 
-class WorldCommand<World> implements fc.Command<NoModel, World> {
+class WorldCommand<World> implements fc.Command<EmptyModel, World> {
 	private readonly _kind: CommandKind<World>;
 	private readonly _numbers: readonly number[];
 	private readonly _coverage: FaultCoverage;
@@ -33,7 +33,7 @@
 		return true;
 	}
 
-	run(_model: NoModel, world: World): void {
+	run(_model: EmptyModel, world: World): void {
 		this._coverage.countCommand();
 		this._kind.apply(world, this._numbers);
 	}
@@ -43,11 +43,11 @@
 	}
 }
 
-/** Lists of commands from a table, at most `most` long. */
-export function commandsFrom<World>(table: ReadonlyArray<CommandKind<World>>, coverage: FaultCoverage, most: number): fc.Arbitrary<Iterable<fc.Command<NoModel, World>>> {
+/** Arbitrary lists of at most `maxLength` commands of the kinds in the table. */
+export function commandLists<World>(table: ReadonlyArray<CommandKind<World>>, coverage: FaultCoverage, maxLength: number): fc.Arbitrary<Iterable<fc.Command<EmptyModel, World>>> {
 	const one = fc.oneof(...table.map(kind => ({
 		weight: kind.weight,
-		arbitrary: fc.tuple(...kind.most.map(limit => fc.nat(limit))).map((numbers: readonly number[]) => new WorldCommand(kind, numbers, coverage)),
+		arbitrary: fc.tuple(...kind.maxValues.map(limit => fc.nat(limit))).map((numbers: readonly number[]) => new WorldCommand(kind, numbers, coverage)),
 	})));
-	return fc.commands([one], {maxCommands: most, size: 'max'});
+	return fc.commands([one], {maxCommands: maxLength, size: 'max'});
 }
--- a/src/proof/guards/main.ts
+++ b/src/proof/guards/main.ts
@@ -1,6 +1,6 @@
 /**
- * Takes out each guard in turn, in a copy of the sources, and runs the tests that should notice:
- * `node --import=tsx src/proof/guards/main.ts [--only TEXT]`. A guard whose loss nothing notices is listed.
+ * Mutation test of the guards: removes each guard in a copy of the sources and runs the tests that must then fail:
+ * `node --import=tsx src/proof/guards/main.ts [--only TEXT]`. Lists guards whose removal no test detects.
  */
 import {spawn} from 'node:child_process';
 import {
@@ -15,14 +15,14 @@
 
 type Finding = 'noticed' | 'NOT NOTICED' | 'TEXT NOT FOUND';
 
-/** Copies of the sources that work at one time. */
-const mostAtOnce = 3;
-const copied = ['src', 'benchmark', 'charts', 'proto', 'examples', 'package.json', 'tsconfig.json'];
-const testMilliseconds = 120_000;
+/** Number of copies of the sources in which tests run at the same time. */
+const maxConcurrentCopies = 3;
+const copiedPaths = ['src', 'benchmark', 'charts', 'proto', 'examples', 'package.json', 'tsconfig.json'];
+const testTimeoutMilliseconds = 120_000;
 
 function makeCopy(): string {
 	const folder = mkdtempSync(join(tmpdir(), 'jaydale-guards-'));
-	for (const name of copied.filter(one => existsSync(join(packageRoot, one)))) {
+	for (const name of copiedPaths.filter(one => existsSync(join(packageRoot, one)))) {
 		cpSync(join(packageRoot, name), join(folder, name), {recursive: true});
 	}
 
@@ -34,7 +34,7 @@
 	return new Promise(resolve => {
 		const mocha = join('node_modules', 'mocha', 'bin', 'mocha.js');
 		const child = spawn(process.execPath, [mocha, '--no-config', '--import=tsx', '--timeout', '60000', '--bail', ...patterns], {
-			cwd: folder, stdio: 'ignore', env: {...process.env, CI: 'true'}, timeout: testMilliseconds,
+			cwd: folder, stdio: 'ignore', env: {...process.env, CI: 'true'}, timeout: testTimeoutMilliseconds,
 		});
 		child.on('exit', code => {
 			resolve(code === 0);
@@ -42,7 +42,7 @@
 	});
 }
 
-async function tryGuard(folder: string, guard: Guard): Promise<Finding> {
+async function testWithoutGuard(folder: string, guard: Guard): Promise<Finding> {
 	const path = join(folder, guard.file);
 	const source = readFileSync(path, 'utf8');
 	if (source.split(guard.text).length !== 2) {
@@ -56,21 +56,21 @@
 }
 
 async function main(only: string | undefined): Promise<number> {
-	const waiting = guards.filter(({name}) => only === undefined || name.includes(only));
-	const count = waiting.length;
+	const pending = guards.filter(({name}) => only === undefined || name.includes(only));
+	const count = pending.length;
 	const unnoticed: string[] = [];
-	const folders = Array.from({length: Math.min(mostAtOnce, count)}, makeCopy);
+	const folders = Array.from({length: Math.min(maxConcurrentCopies, count)}, makeCopy);
 	try {
-		// A copy in which the tests fail anyhow would notice everything.
-		const patterns = [...new Set(waiting.flatMap(({tests}) => tests))];
+		// If the tests fail with all guards in place, a failure would not show that a removal is detected.
+		const patterns = [...new Set(pending.flatMap(({tests}) => tests))];
 		if (!await runTests(folders[0]!, patterns)) {
-			console.log('the tests fail with all guards in place: nothing can be told');
+			console.log('the tests fail with all guards in place, so no guard can be checked');
 			return 1;
 		}
 
 		await Promise.all(folders.map(async folder => {
-			for (let guard = waiting.shift(); guard !== undefined; guard = waiting.shift()) {
-				const finding = await tryGuard(folder, guard);
+			for (let guard = pending.shift(); guard !== undefined; guard = pending.shift()) {
+				const finding = await testWithoutGuard(folder, guard);
 				console.log(`${finding.padEnd(14)} ${guard.name} (${guard.file})`);
 				if (finding !== 'noticed') {
 					unnoticed.push(guard.name);
@@ -83,12 +83,12 @@
 		}
 	}
 
-	console.log(`${count - unnoticed.length} of ${count} guards noticed; not noticed: ${unnoticed.join('; ') || 'none'}`);
+	console.log(`${count - unnoticed.length} of ${count} guards checked by tests; not noticed: ${unnoticed.join('; ') || 'none'}`);
 	return unnoticed.length === 0 ? 0 : 1;
 }
 
 sade('guards', true)
-	.option('--only', 'Only guards whose names hold this text')
+	.option('--only', 'Check only guards whose names contain this text')
 	.action(async (options: {readonly only?: string}) => {
 		process.exitCode = await main(options.only);
 	})
--- a/src/proof/oracle/history-index.ts
+++ b/src/proof/oracle/history-index.ts
@@ -1,4 +1,4 @@
-/** A history put in order once, so that each promise's check reads plainly. */
+/** Indexes a history by calls, faults and event types for the checks of the oracle. */
 import {
 	type BackendServerEvent, type CallerEvent, type HistoryEvent, type ObserverTime,
 } from './types.ts';
@@ -8,7 +8,7 @@
 type CallSent = Extract<CallerEvent, {type: 'call-sent'}>;
 type CallEnd = Exclude<CallerEvent, {type: 'call-sent'}>;
 
-/** One call with all that was seen of it. */
+/** All events of one call. */
 export type CallRecord = {
 	readonly call: string;
 	readonly sent: CallSent | undefined;
@@ -17,7 +17,7 @@
 	readonly answers: readonly AnswerMade[];
 };
 
-/** A time in which something was wrong with a party; without an end it lasts to the end of the history. */
+/** Period in which a party has a fault. `until` is infinite if the fault does not end in the history. */
 export type FaultSpan = {readonly party: string; readonly fault: string; readonly from: ObserverTime; until: ObserverTime};
 
 type MutableCallRecord = {call: string; sent: CallSent | undefined; ends: CallEnd[]; runs: Run[]; answers: AnswerMade[]};
@@ -25,14 +25,14 @@
 export class HistoryIndex {
 	readonly calls = new Map<string, MutableCallRecord>();
 	readonly faults: FaultSpan[] = [];
-	/** Time of the last event: what was due later is not judged. */
+	/** Time of the last event. Limits that expire later are not checked. */
 	readonly end: ObserverTime;
 
-	/** Takes events in order of time. */
+	/** Requires the events in order of time. */
 	constructor(readonly events: readonly HistoryEvent[]) {
 		this.end = events.at(-1)?.at ?? 0;
 		for (const event of events) {
-			this._take(event);
+			this._index(event);
 		}
 	}
 
@@ -41,19 +41,19 @@
 		return this.events.filter((event): event is Extract<HistoryEvent, {type: Type}> => event.type === type);
 	}
 
-	/** True if the fault (any if none is named) was at one of the parties at any time from `from` to `until`. */
+	/** True if one of the parties had the fault (any fault if `fault` is omitted) at any time between `from` and `until`. */
 	wasDisturbed(parties: readonly string[], from: ObserverTime, until: ObserverTime, fault?: string): boolean {
 		return this.faults.some(span => parties.includes(span.party) && (fault === undefined || span.fault === fault) && span.from <= until && span.until >= from);
 	}
 
-	/** Start of the first span of this length, not before `from`, with nothing wrong with the party. */
-	undisturbedFrom(party: string, from: ObserverTime, milliseconds: number): ObserverTime {
+	/** Start of the first period of this length, at or after `from`, in which the party has no fault. */
+	findUndisturbedStart(party: string, from: ObserverTime, milliseconds: number): ObserverTime {
 		const span = this.faults.find(one => one.party === party && one.from <= from + milliseconds && one.until > from);
-		return span === undefined ? from : this.undisturbedFrom(party, span.until, milliseconds);
+		return span === undefined ? from : this.findUndisturbedStart(party, span.until, milliseconds);
 	}
 
-	private _take(event: HistoryEvent): void {
-		// eslint-disable-next-line @typescript-eslint/switch-exhaustiveness-check -- only calls and faults are indexed; the rest is read by type
+	private _index(event: HistoryEvent): void {
+		// eslint-disable-next-line @typescript-eslint/switch-exhaustiveness-check -- only events of calls and faults are indexed; other events are read by type
 		switch (event.type) {
 			case 'call-sent': {
 				this._callRecord(event.call).sent = event;
--- a/src/proof/oracle/oracle.ts
+++ b/src/proof/oracle/oracle.ts
@@ -1,15 +1,15 @@
-/** The oracle: judges a history by the seven promises. Written to be read, not to be fast. */
+/** The test oracle: checks a recorded history against the seven guarantees. Favours readable checks over speed. */
 import {
 	checkAtMostOnce, checkGracefulStops, checkNotRun, checkWholeAnswers,
 } from './call-promises.ts';
 import {checkConfiguration, checkLeaving, checkMeasuringBudget} from './fleet-promises.ts';
 import {HistoryIndex} from './history-index.ts';
 import {
-	type HistoryEvent, type OracleLimits, type Violation, usualLimits,
+	type HistoryEvent, type OracleLimits, type Violation, defaultLimits,
 } from './types.ts';
 
-/** All broken promises of a history, the earliest first. Events may come in any order. */
-export function judge(events: readonly HistoryEvent[], limits: OracleLimits = usualLimits): readonly Violation[] {
+/** All violations in a history, in order of time. The events may be in any order. */
+export function findViolations(events: readonly HistoryEvent[], limits: OracleLimits = defaultLimits): readonly Violation[] {
 	const index = new HistoryIndex(events.toSorted((left, right) => left.at - right.at));
 	return [
 		...checkMeasuringBudget(index),
--- a/src/proof/oracle/types.ts
+++ b/src/proof/oracle/types.ts
@@ -1,15 +1,15 @@
 /**
- * The history that the oracle judges: what an observer outside the product saw, in the order of one
- * true clock. Nothing here comes from the product's own types, so a mistake in those can't hide one.
+ * Events of the history that the oracle checks, as recorded by an observer outside the product with a single
+ * clock. No type is imported from the product, so that a mistake in its types cannot hide a violation.
  */
 
 /** Milliseconds on the observer's clock. */
 export type ObserverTime = number;
 
-/** What the product told a caller about the run of its call. */
-export type ToldOutcome = 'ran' | 'not-run' | 'unknown';
+/** Outcome that the answer to a call reports: whether a backend server ran the call. */
+export type ReportedOutcome = 'ran' | 'not-run' | 'unknown';
 
-/** What callers did and saw. */
+/** Calls that callers sent, and the ends that they observed. */
 export type CallerEvent
 	= | {
 		readonly type: 'call-sent';
@@ -17,25 +17,25 @@
 		readonly call: string;
 		readonly vm: string;
 		readonly isIdempotent: boolean;
-		/** Service and key together, where the service claims keys: all calls with it run at most once. */
+		/** Service name and idempotency key, if the service claims keys. All calls with the same value together run at most once. */
 		readonly key?: string;
-		/** When its final answer is due at the latest. */
-		readonly due: ObserverTime;
+		/** Latest time at which the call must have ended. */
+		readonly dueAt: ObserverTime;
 	}
-	/** An answer with a clean end. `outcome` is what its head says; a refusal has no run behind its body. */
+	/** A complete answer. `outcome` is taken from its head. The body of a refusal was not made by a run. */
 	| {
 		readonly type: 'answer-whole';
 		readonly at: ObserverTime;
 		readonly call: string;
 		readonly body: string;
-		readonly outcome: ToldOutcome | undefined;
+		readonly outcome: ReportedOutcome | undefined;
 		readonly isRefusal: boolean;
 	}
-	/** The caller could tell that its answer is not whole, or got none. */
+	/** The caller received no answer, or detected that the answer is incomplete. */
 	| {readonly type: 'answer-broken'; readonly at: ObserverTime; readonly call: string}
 	| {readonly type: 'caller-gone'; readonly at: ObserverTime; readonly call: string};
 
-/** What backend servers did. `backendServer` names one declared identity. */
+/** Events at backend servers. `backendServer` is the identity of one declaration. */
 export type BackendServerEvent
 	= | {
 		readonly type: 'run-began';
@@ -43,13 +43,13 @@
 		readonly run: string;
 		readonly call: string;
 		readonly backendServer: string;
-		/** When the call was handed over, where that can be seen: a frozen backend server reads it later. */
-		readonly givenAt?: ObserverTime;
+		/** Time at which the VM sent the call, if it can be observed. A frozen backend server reads the call later. */
+		readonly dispatchedAt?: ObserverTime;
 	}
-	/** The whole body that this run would give, also where only its end was asked for. */
+	/** The complete body that this run produces, also if the request resumes the download and only its rest is sent. */
 	| {readonly type: 'answer-made'; readonly at: ObserverTime; readonly run: string; readonly call: string; readonly body: string}
 	| {readonly type: 'measured'; readonly at: ObserverTime; readonly backendServer: string}
-	/** The agreed budget: so many measuring calls in any window of this length. */
+	/** The load probe budget in force from now on: at most `calls` load probes in any window of this length. */
 	| {
 		readonly type: 'budget';
 		readonly at: ObserverTime;
@@ -57,24 +57,24 @@
 		readonly calls: number;
 		readonly windowMilliseconds: number;
 	}
-	/** The first sign of leaving that any VM could see. */
+	/** The first sign of leaving that any VM could observe. */
 	| {readonly type: 'leaving-began'; readonly at: ObserverTime; readonly backendServer: string}
-	/** It is back: a new process, or the operator's order was taken back. */
+	/** The backend server is available again: a new process runs, or an operator withdrew the order to leave. */
 	| {readonly type: 'leaving-ended'; readonly at: ObserverTime; readonly backendServer: string};
 
-/** What operators were told. A change is one request of an operator, known by its identity. */
+/** Answers that operators received. `change` is the operation identity of one request. */
 export type OperatorEvent
 	= | {
 		readonly type: 'change-accepted';
 		readonly at: ObserverTime;
 		readonly change: string;
 		readonly version: number;
-		/** What it was made on top of, where its operator said so: only one change can replace that. */
+		/** The resource version that the operator expected, if any. Only one change can replace it. */
 		readonly replaces?: string;
 	}
 	| {readonly type: 'change-refused'; readonly at: ObserverTime; readonly change: string};
 
-/** What a VM acts on. `content` is everything in force, in one canonical text. */
+/** Configuration and lifecycle of a VM. `content` is the whole configuration in force as canonical text. */
 export type VmEvent
 	= | {
 		readonly type: 'vm-acts-on';
@@ -83,12 +83,12 @@
 		readonly version: number;
 		readonly content: string;
 	}
-	/** A VM shows in its history that a version was made by this change. */
+	/** The change history of a VM attributes the version to this change. */
 	| {readonly type: 'version-seen'; readonly at: ObserverTime; readonly vm: string; readonly version: number; readonly change: string}
 	| {readonly type: 'vm-serves'; readonly at: ObserverTime; readonly vm: string}
 	| {readonly type: 'vm-ended'; readonly at: ObserverTime; readonly vm: string};
 
-/** Stops that were planned, and faults that were not. `party` is a VM or a backend server. */
+/** Planned stops, and unplanned faults. `party` is a VM or a backend server. */
 export type DisturbanceEvent
 	= | {readonly type: 'planned-stop-began'; readonly at: ObserverTime; readonly party: string}
 		| {readonly type: 'fault-began'; readonly at: ObserverTime; readonly party: string; readonly fault: string}
@@ -96,8 +96,8 @@
 
 export type HistoryEvent = CallerEvent | BackendServerEvent | OperatorEvent | VmEvent | DisturbanceEvent;
 
-/** The seven promises. */
-export type PromiseName
+/** The seven guarantees of the product. */
+export type GuaranteeName
 	= | 'measuring-budget'
 		| 'whole-answer'
 		| 'not-run'
@@ -106,21 +106,21 @@
 		| 'graceful-stop'
 		| 'configuration';
 
-/** One broken promise. */
+/** One violated guarantee. */
 export type Violation = {
-	readonly promise: PromiseName;
+	readonly guarantee: GuaranteeName;
 	readonly at: ObserverTime;
 	readonly message: string;
 };
 
-/** How long the promises' "a few seconds" and "at once" are. */
+/** Time limits of the guarantees that hold "within a few seconds" or "at once". */
 export type OracleLimits = {
-	/** From the first sign of leaving until no new work may begin. */
+	/** From the first sign of leaving until no VM may send new calls to the backend server. */
 	readonly leavingMilliseconds: number;
-	/** From acceptance, or from the end of a fault of the VM, until a change is in force there. */
+	/** From the acceptance of a change, or from the end of a fault of the VM, until the change is in force on the VM. */
 	readonly inForceMilliseconds: number;
-	/** How much later than due a final answer may come. */
+	/** How long after `dueAt` a call may end. */
 	readonly answerSlackMilliseconds: number;
 };
 
-export const usualLimits: OracleLimits = {leavingMilliseconds: 5000, inForceMilliseconds: 5000, answerSlackMilliseconds: 1000};
+export const defaultLimits: OracleLimits = {leavingMilliseconds: 5000, inForceMilliseconds: 5000, answerSlackMilliseconds: 1000};
--- a/src/proof/soak/main.ts
+++ b/src/proof/soak/main.ts
@@ -1,6 +1,6 @@
 /**
- * A soak with faults going on: `node --import=tsx src/proof/soak/main.ts --seconds N`. Prints memory, open files and
- * handles of each VM over time, and how the second half compares with the first.
+ * Runs a soak test with faults: `node --import=tsx src/proof/soak/main.ts --seconds N`. Prints memory, open files, timers
+ * and handles of each VM over time, and their means in the middle and the last part of the run, to show leaks.
  */
 import {readdirSync} from 'node:fs';
 import process from 'node:process';
@@ -18,11 +18,11 @@
 const probeSchema = z.object({
 	probe: z.literal(true), heapUsed: z.number(), rss: z.number(), counts: z.record(z.string(), z.number()),
 });
-const callersAtOnce = 12;
+const concurrentCallers = 12;
 const faultMilliseconds = 1500;
 const megabyte = 1_048_576;
 
-/** What callers got. */
+/** Numbers of answers by kind. `wrong` counts whole answers with the wrong body. */
 class Tally {
 	whole = 0;
 	refused = 0;
@@ -30,7 +30,7 @@
 	wrong = 0;
 }
 
-async function callOn(fleet: ProofFleet, caller: number, end: number, tally: Tally): Promise<void> {
+async function runCaller(fleet: ProofFleet, caller: number, end: number, tally: Tally): Promise<void> {
 	for (let sent = 0; performance.now() < end; sent++) {
 		const isOrder = sent % 4 === 0;
 		const call: ProofCall = {
@@ -52,13 +52,13 @@
 			tally.wrong += isRight ? 0 : 1;
 		} else {
 			tally.refused++;
-			// A refused caller does not come back at once.
+			// A refused caller waits before its next call.
 			await delay(100);
 		}
 	}
 }
 
-async function disturb(fleet: ProofFleet, end: number, seed: number): Promise<void> {
+async function injectFaults(fleet: ProofFleet, end: number, seed: number): Promise<void> {
 	const random = seededRandom(seed);
 	const backendServer = () => fleet.backendServers[Math.floor(random.next() * fleet.backendServers.length)]!;
 	const faults: ReadonlyArray<() => Promise<unknown>> = [
@@ -88,7 +88,7 @@
 	}
 }
 
-function watchVms(fleet: ProofFleet, samples: Sample[]): void {
+function collectSamples(fleet: ProofFleet, samples: Sample[]): void {
 	const started = performance.now();
 	for (const {plan, program} of fleet.vms) {
 		program.onErrorLine(line => {
@@ -128,13 +128,13 @@
 	return sum / Math.max(1, values.length);
 };
 
-function compare(samples: readonly Sample[], seconds: number): void {
-	// The first fifth warms up: code is compiled and pools fill.
-	const warm = samples.filter(({second}) => second > seconds / 5);
+function printComparison(samples: readonly Sample[], seconds: number): void {
+	// Ignores the first fifth, in which code is compiled and pools fill.
+	const warmSamples = samples.filter(({second}) => second > seconds / 5);
 	const middle = seconds * 0.6;
 	for (const field of ['rss', 'heap', 'files', 'timers', 'handles'] as const) {
-		const before = mean(warm.filter(({second}) => second <= middle).map(sample => sample[field]));
-		const after = mean(warm.filter(({second}) => second > middle).map(sample => sample[field]));
+		const before = mean(warmSamples.filter(({second}) => second <= middle).map(sample => sample[field]));
+		const after = mean(warmSamples.filter(({second}) => second > middle).map(sample => sample[field]));
 		console.log(`${field}: ${before.toFixed(1)} in the middle part, ${after.toFixed(1)} in the last part`);
 	}
 }
@@ -150,14 +150,14 @@
 
 		const samples: Sample[] = [];
 		const tally = new Tally();
-		watchVms(fleet, samples);
+		collectSamples(fleet, samples);
 		const end = performance.now() + (1000 * seconds);
 		await Promise.all([
-			disturb(fleet, end, seed),
-			...Array.from({length: callersAtOnce}, async (_, caller) => callOn(fleet, caller, end, tally)),
+			injectFaults(fleet, end, seed),
+			...Array.from({length: concurrentCallers}, async (_, caller) => runCaller(fleet, caller, end, tally)),
 		]);
-		compare(samples, seconds);
-		console.log(`seed ${seed}: ${tally.whole} whole answers, ${tally.refused} refusals, ${tally.broken} broken, ${tally.wrong} wrong`);
+		printComparison(samples, seconds);
+		console.log(`seed ${seed}: ${tally.whole} whole answers, ${tally.refused} refusals, ${tally.broken} broken answers, ${tally.wrong} wrong answers`);
 		return tally.wrong === 0 ? 0 : 1;
 	} finally {
 		fleet.dispose();
@@ -165,8 +165,8 @@
 }
 
 sade('soak', true)
-	.option('--seconds', 'How long', 300)
-	.option('--seed', 'Seed of the faults', 1)
+	.option('--seconds', 'Duration in seconds', 300)
+	.option('--seed', 'Seed of the fault sequence', 1)
 	.action(async (options: Options) => {
 		process.exitCode = await main(options);
 	})
--- a/src/proof/soak/resource-probe.ts
+++ b/src/proof/soak/resource-probe.ts
@@ -1,7 +1,7 @@
-/** Loaded into a VM's process by `--import`: writes what it holds to its stream for errors, every ten seconds. */
+/** Loaded into a VM's process by `--import`: writes its memory and active resources as a JSON line to standard error every 10 s. */
 import process from 'node:process';
 
-const everyMilliseconds = 10_000;
+const reportIntervalMilliseconds = 10_000;
 
 setInterval(() => {
 	const counts: Record<string, number> = {};
@@ -13,4 +13,4 @@
 	process.stderr.write(`${JSON.stringify({
 		probe: true, heapUsed, rss, counts,
 	})}\n`);
-}, everyMilliseconds).unref();
+}, reportIntervalMilliseconds).unref();
