--- a/src/proof/faults/row-runner.ts
+++ b/src/proof/faults/row-runner.ts
@@ -144,7 +144,7 @@
 	/** Records a run for each request that was forwarded to a backend server completely, since the server may have run the call. */
 	private _recordRuns(call: ProofCall): void {
 		for (const server of this._fleet.backendServers) {
-			for (const {at} of server.relay.forwardedRequests.filter(given => given.call === call.name)) {
+			for (const {at} of server.relay.forwardedRequests.filter(request => request.call === call.name)) {
 				const run = `${server.name}-${at}`;
 				this._record({
 					type: 'run-began', at, run, call: call.name, backendServer: server.name,
--- a/src/proof/fuzz/call-commands.ts
+++ b/src/proof/fuzz/call-commands.ts
@@ -3,7 +3,7 @@
 import {type FaultName} from './fault-coverage.ts';
 import {type Treatment} from './fake-backend-server.ts';
 import {type FuzzedCall} from './types.ts';
-import {type ApplyCommand, type CommandKind, pick} from './world-command.ts';
+import {type ApplyCommand, type CommandKind, pickModulo} from './world-command.ts';
 
 /** Faults that a `CallWorld` can cause. */
 export const callFaults: readonly FaultName[] = [
@@ -58,7 +58,7 @@
 
 const sendCalls: CallApply = (world, [vm = 0, kind = 0, count = 0]) => {
 	for (let sent = 0; sent <= count; sent++) {
-		const target = pick(world.vms, vm + sent);
+		const target = pickModulo(world.vms, vm + sent);
 		if (target !== undefined) {
 			world.send(target, createCall(world, callKinds[kind % callKinds.length]!));
 		}
@@ -66,14 +66,14 @@
 };
 
 const sendWithKey: CallApply = (world, [vm = 0, key = 0]) => {
-	const target = pick(world.vms, vm);
+	const target = pickModulo(world.vms, vm);
 	if (target !== undefined) {
 		world.send(target, createCall(world, callKinds[0]!, {key: `key-${key}`, fingerprint: `key-${key}`}));
 	}
 };
 
 const sendKiller: CallApply = (world, [vm = 0, killer = 0]) => {
-	const target = pick(world.vms, vm);
+	const target = pickModulo(world.vms, vm);
 	if (target !== undefined) {
 		world.faults.begin('killer call', true);
 		world.send(target, createCall(world, callKinds[1]!, {crashesBackendServer: true, fingerprint: `killer-${killer % 2}`}));
@@ -90,8 +90,8 @@
 ];
 
 const setTreatment: CallApply = (world, [server = 0, treatment = 0]) => {
-	const [name, fault] = pick(treatments, treatment)!;
-	pick(world.servers, server)!.treatment = name;
+	const [name, fault] = pickModulo(treatments, treatment)!;
+	pickModulo(world.servers, server)!.treatment = name;
 	if (fault !== undefined) {
 		world.faults.begin(fault);
 	}
@@ -99,11 +99,11 @@
 
 const killServer: CallApply = (world, [server = 0]) => {
 	world.faults.begin('backend server killed', true);
-	pick(world.servers, server)!.kill();
+	pickModulo(world.servers, server)!.kill();
 };
 
 const restartServer: CallApply = (world, [server = 0]) => {
-	const target = pick(world.servers, server)!;
+	const target = pickModulo(world.servers, server)!;
 	if (!target.isUp) {
 		world.faults.begin('backend server returns', true);
 		world.restart(target);
@@ -111,7 +111,7 @@
 };
 
 const freezeServer: CallApply = (world, [server = 0]) => {
-	const target = pick(world.servers, server)!;
+	const target = pickModulo(world.servers, server)!;
 	if (target.isFrozen) {
 		target.thaw();
 	} else if (target.isUp) {
@@ -121,23 +121,23 @@
 };
 
 const leaveServer: CallApply = (world, [server = 0, way = 0, vm = 0]) => {
-	const target = pick(world.servers, server)!;
+	const target = pickModulo(world.servers, server)!;
 	world.faults.begin('backend server leaves');
 	if (way % 2 === 0) {
-		world.redeclare(pick(world.vms, vm)!, world.servers.indexOf(target), {isLeaving: true}, false);
+		world.redeclare(pickModulo(world.vms, vm)!, world.servers.indexOf(target), {isLeaving: true}, false);
 	} else if (target.isUp) {
 		world.startLeaving(target);
 	}
 };
 
 const returnServer: CallApply = (world, [server = 0, way = 0, vm = 0]) => {
-	const target = pick(world.servers, server)!;
+	const target = pickModulo(world.servers, server)!;
 	world.faults.begin('backend server returns', true);
-	world.redeclare(pick(world.vms, vm)!, world.servers.indexOf(target), {isLeaving: false}, way % 2 === 0);
+	world.redeclare(pickModulo(world.vms, vm)!, world.servers.indexOf(target), {isLeaving: false}, way % 2 === 0);
 };
 
 const killVm: CallApply = (world, [vm = 0]) => {
-	const target = pick(world.vms, vm);
+	const target = pickModulo(world.vms, vm);
 	if (target !== undefined) {
 		world.faults.begin('VM killed', true);
 		world.recordFault(target.name, 'killed', true);
@@ -149,7 +149,7 @@
 };
 
 const pauseVm: CallApply = (world, [vm = 0, order = 0]) => {
-	const target = pick(world.vms, vm);
+	const target = pickModulo(world.vms, vm);
 	if (target === undefined) {
 		return;
 	}
@@ -181,7 +181,7 @@
 
 const silenceConnections: CallApply = (world, [vm = 0]) => {
 	world.faults.begin('silent connections', true);
-	pick(world.vms, vm)?.attempts.silenceConnections();
+	pickModulo(world.vms, vm)?.attempts.silenceConnections();
 };
 
 const disturbStore: CallApply = (world, [kind = 0]) => {
@@ -213,7 +213,7 @@
 		label: 'sendKiller', weight: 2, maxValues: [9, 1], apply: sendKiller,
 	},
 	{
-		label: 'callerLeaves', weight: 2, maxValues: [9], apply: (world, [vm = 0]) => pick(world.vms, vm)?.disconnectCaller(),
+		label: 'callerLeaves', weight: 2, maxValues: [9], apply: (world, [vm = 0]) => pickModulo(world.vms, vm)?.disconnectCaller(),
 	},
 	{
 		label: 'wait', weight: 10, maxValues: [60], apply(world, [milliseconds = 0]) {
--- a/src/proof/fuzz/call-world.ts
+++ b/src/proof/fuzz/call-world.ts
@@ -121,14 +121,14 @@
 	}
 
 	/** Changes the declaration of a backend server as an operator. A new identity stands for deletion and a new declaration. */
-	redeclare(through: CallVm, position: number, change: Partial<BackendServer>, isNewIdentity: boolean): void {
+	redeclare(vm: CallVm, position: number, change: Partial<BackendServer>, isNewIdentity: boolean): void {
 		const backendServers = new Map(this.fleet.configuration.backendServers);
 		const [identity, declared] = [...backendServers].find(([, {port}]) => port === firstPort + position)!;
 		const changed = {...declared, ...change};
 		const next = isNewIdentity ? `identity-${++this._identityNumber}` : identity;
 		backendServers.delete(identity);
 		backendServers.set(next, changed);
-		if (!this.fleet.declare(through, {...this.fleet.configuration, version: this.fleet.configuration.version + 1, backendServers})) {
+		if (!this.fleet.declare(vm, {...this.fleet.configuration, version: this.fleet.configuration.version + 1, backendServers})) {
 			return;
 		}
 
--- a/src/proof/fuzz/fake-fleet.ts
+++ b/src/proof/fuzz/fake-fleet.ts
@@ -67,14 +67,14 @@
 	}
 
 	/** Applies an operator's change through one VM, which receives the configuration at once. Returns false if the VM cannot use the store. */
-	declare(through: CallVm, configuration: CallConfiguration): boolean {
-		if (!this._canUseStore(through)) {
+	declare(vm: CallVm, configuration: CallConfiguration): boolean {
+		if (!this._canUseStore(vm)) {
 			return false;
 		}
 
 		this._configuration = configuration;
-		this._views.get(through)!.version = configuration.version;
-		through.feed({type: 'configured', configuration});
+		this._views.get(vm)!.version = configuration.version;
+		vm.feed({type: 'configured', configuration});
 		this._updateViews();
 		return true;
 	}
--- a/src/proof/fuzz/fleet-commands.ts
+++ b/src/proof/fuzz/fleet-commands.ts
@@ -2,7 +2,7 @@
 import {type FaultName} from './fault-coverage.ts';
 import {type FleetVm} from './fleet-vm.ts';
 import {type FleetWorld} from './fleet-world.ts';
-import {type ApplyCommand, type CommandKind, pick} from './world-command.ts';
+import {type ApplyCommand, type CommandKind, pickModulo} from './world-command.ts';
 
 /** Faults that a `FleetWorld` can cause. */
 export const fleetFaults: readonly FaultName[] = [
@@ -28,48 +28,48 @@
 const names = ['reads-0', 'reads-1', 'reads-2'];
 
 const declare: FleetApply = (world, [vm = 0, name = 0, kind = 0]) => {
-	const through = pick(world.vms, vm);
-	const server = pick(names, name)!;
-	if (through === undefined) {
+	const target = pickModulo(world.vms, vm);
+	const server = pickModulo(names, name)!;
+	if (target === undefined) {
 		return;
 	}
 
 	if (kind === 0) {
-		world.remove(through, `backend-server/${server}`);
+		world.remove(target, `backend-server/${server}`);
 	} else if (kind < 3) {
 		world.faults.begin('backend server leaves', true);
-		world.submit(through, [world.backendServer(server, true)]);
+		world.submit(target, [world.backendServer(server, true)]);
 	} else {
-		world.submit(through, [world.service('reads'), world.backendServer(server, false)]);
+		world.submit(target, [world.service('reads'), world.backendServer(server, false)]);
 	}
 };
 
 /** Two operators change the same resource at nearly the same time, each expecting the version that its VM shows. */
-const declareTwice: FleetApply = (world, [one = 0, other = 0, apart = 0]) => {
-	const [first, second] = [pick(world.vms, one), pick(world.vms, other)];
+const declareTwice: FleetApply = (world, [one = 0, other = 0, gapMilliseconds = 0]) => {
+	const [first, second] = [pickModulo(world.vms, one), pickModulo(world.vms, other)];
 	if (first === undefined || second === undefined) {
 		return;
 	}
 
 	world.faults.begin('two operators', true);
 	world.submit(first, [world.service('reads')], currentVersion(first));
-	world.advance(apart);
+	world.advance(gapMilliseconds);
 	world.submit(second, [world.service('reads')], currentVersion(second));
 };
 
 const currentVersion = (vm: FleetVm): number => vm.engine.resource('service/reads')?.metadata.version ?? 0;
 
 const sendAgain: FleetApply = (world, [vm = 0, which = 0]) => {
-	const change = pick(world.unknownChanges, which);
-	const through = pick(world.vms, vm);
-	if (change !== undefined && through !== undefined) {
-		world.resubmit(through, change);
+	const change = pickModulo(world.unknownChanges, which);
+	const target = pickModulo(world.vms, vm);
+	if (change !== undefined && target !== undefined) {
+		world.resubmit(target, change);
 	}
 };
 
 const seeLeaving: FleetApply = (world, [vm = 0, server = 0]) => {
-	const observer = pick(world.vms, vm);
-	const identity = pick([...observer?.configuration?.backendServers.keys() ?? []], server);
+	const observer = pickModulo(world.vms, vm);
+	const identity = pickModulo([...observer?.configuration?.backendServers.keys() ?? []], server);
 	if (observer !== undefined && identity !== undefined) {
 		world.faults.begin('backend server leaves', true);
 		world.reportLeavingSign(observer, identity);
@@ -77,7 +77,7 @@
 };
 
 const kill: FleetApply = (world, [vm = 0, isReplaced = 0]) => {
-	const target = pick(world.vms, vm);
+	const target = pickModulo(world.vms, vm);
 	if (target === undefined || (world.vms.length < 3 && isReplaced === 0)) {
 		return;
 	}
@@ -91,7 +91,7 @@
 };
 
 const replaceAsPlanned: FleetApply = (world, [vm = 0]) => {
-	const target = pick(world.vms, vm);
+	const target = pickModulo(world.vms, vm);
 	world.faults.begin('VM stops as planned', true);
 	world.faults.begin('VM replaced', true);
 	world.addVm();
@@ -99,7 +99,7 @@
 };
 
 const pauseOrResume: FleetApply = (world, [vm = 0, kind = 0]) => {
-	const target = pick(world.vms, vm);
+	const target = pickModulo(world.vms, vm);
 	if (target === undefined) {
 		return;
 	}
--- a/src/proof/fuzz/fleet-vm.ts
+++ b/src/proof/fuzz/fleet-vm.ts
@@ -93,7 +93,7 @@
 		});
 	}
 
-	change(change: OperatorChange, onAnswer: (answer: OperatorAnswer) => void): void {
+	submitChange(change: OperatorChange, onAnswer: (answer: OperatorAnswer) => void): void {
 		this._runOrDefer(() => {
 			this._answers.set(++this._lastRequestId, onAnswer);
 			this.feed({type: 'operator-change', requestId: this._lastRequestId, change});
--- a/src/proof/fuzz/fleet-world.ts
+++ b/src/proof/fuzz/fleet-world.ts
@@ -157,7 +157,7 @@
 	/** Sends a change, for the first time or again with the same operation identity. */
 	resubmit(vm: FleetVm, change: OperatorChange): void {
 		const replaces = change.mutations.find(({expectedVersion}) => expectedVersion !== undefined);
-		vm.change(change, answer => {
+		vm.submitChange(change, answer => {
 			const at = this.timeline.now;
 			if (answer.type === 'accepted') {
 				this.history.push({
@@ -239,14 +239,14 @@
 
 	/** When the first VM uses a newer version, records which backend servers begin to leave or return by this version. */
 	private _handleConfigured(configuration: CallConfiguration): void {
-		const before = this._newestConfiguration;
-		if (before !== undefined && configuration.version <= before.version) {
+		const previous = this._newestConfiguration;
+		if (previous !== undefined && configuration.version <= previous.version) {
 			return;
 		}
 
 		this._newestConfiguration = configuration;
 		const {now: at} = this.timeline;
-		for (const [backendServer, {isLeaving}] of before?.backendServers ?? []) {
+		for (const [backendServer, {isLeaving}] of previous?.backendServers ?? []) {
 			const isLeavingNow = configuration.backendServers.get(backendServer)?.isLeaving ?? true;
 			if (isLeavingNow !== isLeaving) {
 				this.history.push({type: isLeavingNow ? 'leaving-began' : 'leaving-ended', at, backendServer});
@@ -290,9 +290,9 @@
 	private _updateVmLists(): void {
 		this._vmLists.push({at: this.timeline.now, addresses: this.vms.map(({address}) => address)});
 		const lag = this.isVmListLagging ? longLagMilliseconds : normalLagMilliseconds;
-		const seen = this._vmLists.findLast(({at}) => at <= this.timeline.now - lag) ?? this._vmLists[0]!;
+		const visibleList = this._vmLists.findLast(({at}) => at <= this.timeline.now - lag) ?? this._vmLists[0]!;
 		for (const vm of this.vms) {
-			vm.feed({type: 'vm-list', vms: seen.addresses.map(address => ({address, dataCentre: 'north', state: 'live'}))});
+			vm.feed({type: 'vm-list', vms: visibleList.addresses.map(address => ({address, dataCentre: 'north', state: 'live'}))});
 		}
 
 		this.timeline.after(vmListIntervalMilliseconds, () => {
--- a/src/proof/fuzz/world-command.ts
+++ b/src/proof/fuzz/world-command.ts
@@ -16,7 +16,7 @@
 };
 
 /** The item at `position` modulo the length; undefined if there are no items. */
-export const pick = <T>(items: readonly T[], position: number): T | undefined => items[position % Math.max(1, items.length)];
+export const pickModulo = <T>(items: readonly T[], position: number): T | undefined => items[position % Math.max(1, items.length)];
 
 class WorldCommand<World> implements fc.Command<EmptyModel, World> {
 	private readonly _kind: CommandKind<World>;
--- a/src/proof/guards/main.ts
+++ b/src/proof/guards/main.ts
@@ -83,7 +83,7 @@
 		}
 	}
 
-	console.log(`${count - unnoticed.length} of ${count} guards checked by tests; not noticed: ${unnoticed.join('; ') || 'none'}`);
+	console.log(`${count - unnoticed.length} of ${count} removals noticed; not noticed: ${unnoticed.join('; ') || 'none'}`);
 	return unnoticed.length === 0 ? 0 : 1;
 }
 
--- a/src/proof/oracle/call-promises.ts
+++ b/src/proof/oracle/call-promises.ts
@@ -82,7 +82,7 @@
 
 /**
  * A call that is in flight when a planned stop of its VM or backend server begins ends with its complete answer.
- * Exempt are calls whose caller disconnected, calls past their deadline, and calls with an unplanned fault at a party.
+ * Exempt are calls whose caller disconnected, calls that end after `dueAt`, and calls with an unplanned fault at a party.
  */
 export function checkGracefulStops(index: HistoryIndex): Violation[] {
 	const stops = index.ofType('planned-stop-began');
--- a/src/proof/oracle/fleet-promises.ts
+++ b/src/proof/oracle/fleet-promises.ts
@@ -12,9 +12,9 @@
 	const budgets = index.ofType('budget');
 	const measured = index.ofType('measured');
 	return [...new Set(measured.map(({backendServer}) => backendServer))].flatMap(backendServer => {
-		const own = budgets.filter(budget => budget.backendServer === backendServer);
+		const serverBudgets = budgets.filter(budget => budget.backendServer === backendServer);
 		const times = measured.filter(event => event.backendServer === backendServer).map(({at}) => at);
-		const overspent = findOverspentWindow(times, own);
+		const overspent = findOverspentWindow(times, serverBudgets);
 		return overspent === undefined
 			? []
 			: [{guarantee: 'measuring-budget' as const, at: overspent.at, message: `${backendServer} received ${overspent.count} load probes in a window with a budget of ${overspent.allowed}`}];
@@ -51,15 +51,15 @@
 	return index.ofType('run-began').flatMap(({backendServer, call, ...run}) => {
 		const at = run.dispatchedAt ?? run.at;
 		const signs = index.events.filter((event): event is LeavingSign => isLeavingSign(event) && event.backendServer === backendServer && event.at <= at);
-		const since = signs.slice(signs.findLastIndex(({type}) => type === 'leaving-ended') + 1).at(0)?.at;
-		if (since === undefined) {
+		const leavingSince = signs.slice(signs.findLastIndex(({type}) => type === 'leaving-ended') + 1).at(0)?.at;
+		if (leavingSince === undefined) {
 			return [];
 		}
 
 		const vm = index.calls.get(call)?.sent?.vm ?? '';
 		const isReachable = !index.wasDisturbed([vm], at - limits.leavingMilliseconds, at, 'isolated');
-		return at > since + limits.leavingMilliseconds && isReachable
-			? [{guarantee: 'leaving' as const, at, message: `${vm} sent ${call} to ${backendServer} ${at - since} ms after the backend server began to leave`}]
+		return at > leavingSince + limits.leavingMilliseconds && isReachable
+			? [{guarantee: 'leaving' as const, at, message: `${vm} sent ${call} to ${backendServer} ${at - leavingSince} ms after the backend server began to leave`}]
 			: [];
 	});
 }
@@ -126,9 +126,9 @@
 	const latest = new Map<string, number>();
 	const findings: Finding[] = [];
 	for (const {vm, version, at} of activations) {
-		const before = latest.get(vm) ?? 0;
-		if (version < before) {
-			findings.push({at, message: `${vm} reverted from version ${before} to ${version}`});
+		const previous = latest.get(vm) ?? 0;
+		if (version < previous) {
+			findings.push({at, message: `${vm} reverted from version ${previous} to ${version}`});
 		}
 
 		latest.set(vm, version);
