--- a/benchmark/demand/scenarios.ts
+++ b/benchmark/demand/scenarios.ts
@@ -33,10 +33,10 @@
 };
 
 const read = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, maxAttempts: 3, priority: 2,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, attemptLimit: 3, priority: 2,
 };
 const payment = {
-	route: 'orders', isIdempotent: false, timeoutMilliseconds: 800, objectiveMilliseconds: 400, maxAttempts: 2, priority: 1,
+	route: 'orders', isIdempotent: false, timeoutMilliseconds: 800, objectiveMilliseconds: 400, attemptLimit: 2, priority: 1,
 };
 
 function kinds(reads: number, scale: number): DemandKind[] {
--- a/src/cli/change-sender.ts
+++ b/src/cli/change-sender.ts
@@ -24,7 +24,7 @@
  * A change without a response is sent again with the same operation id, so that it is made at most once. The attempts
  * last long enough for a change of leader in the platform's service, but not for an outage, which is reported soon.
  */
-const maxAttempts = 5;
+const attemptLimit = 5;
 const resendMilliseconds = 1000;
 const versionPollMilliseconds = 250;
 
@@ -53,11 +53,11 @@
 	for (let attempt = 1; ; attempt++) {
 		const outcome = await client.request('POST', '/v1/changes', changeAcceptedSchema, {body: request});
 		const isOutcomeKnown = outcome.isOk() || !isOutcomeUnknown(outcome.error);
-		if (isOutcomeKnown || attempt === maxAttempts || terminal.signal.aborted) {
+		if (isOutcomeKnown || attempt === attemptLimit || terminal.signal.aborted) {
 			return outcome;
 		}
 
-		terminal.printError(`outcome unknown; sending the same change again (${attempt} of ${maxAttempts - 1})`);
+		terminal.printError(`outcome unknown; sending the same change again (${attempt} of ${attemptLimit - 1})`);
 		await terminal.sleep(resendMilliseconds);
 	}
 }
--- a/src/common/calls/attempt-runner.ts
+++ b/src/common/calls/attempt-runner.ts
@@ -8,7 +8,7 @@
 import {learnFromAnswer} from './answer-learning.ts';
 import {type EngineContext, vmCountOf} from './engine-context.ts';
 import {type OutlierDetector} from './outlier-detector.ts';
-import {Hedging, maxAttempts} from './hedging.ts';
+import {Hedging, defaultAttemptLimit} from './hedging.ts';
 import {type DemandPlacer} from './demand-placer.ts';
 import {
 	type Placement, type Placer, connectionLimit, rateLimitShare,
@@ -403,7 +403,7 @@
 
 	/** Whether the rules and the retry budget allow one more attempt; if so, takes a token from the budget. */
 	private _mayRetry(call: Call, isReplayable: boolean): boolean {
-		return isReplayable && call.request.mayRetry && call.attemptCount < Math.min(maxAttempts, call.request.rule?.maxAttempts ?? maxAttempts) && call.resetCount < maxResets
+		return isReplayable && call.request.mayRetry && call.attemptCount < Math.min(defaultAttemptLimit, call.request.rule?.attemptLimit ?? defaultAttemptLimit) && call.resetCount < maxResets
 			&& call.serviceState.retryBudget.tryTake();
 	}
 
--- a/src/common/calls/demand-placing.test.ts
+++ b/src/common/calls/demand-placing.test.ts
@@ -7,7 +7,7 @@
 import {type CallEffect, type CallRule} from './types.ts';
 
 const rule: CallRule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, maxAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, attemptLimit: 3, priority: 0,
 };
 
 /** An engine whose only service is measured on demand, with a budget large enough for the test. */
@@ -251,7 +251,7 @@
 		let attempts = 0;
 		let refused = 0;
 		for (let call = 1; call <= 60; call++) {
-			const start = placed(driver, driver.handle({type: 'call-arrived', request: readOf(call, {maxAttempts: 1})}));
+			const start = placed(driver, driver.handle({type: 'call-arrived', request: readOf(call, {attemptLimit: 1})}));
 			if (start === undefined) {
 				refused++;
 				continue;
@@ -271,7 +271,7 @@
 	// Guards callers of a shed call against a retry delay that is too long for their objective.
 	it('make callers retry at once', () => {
 		const driver = driverOf(2);
-		const start = startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1, {maxAttempts: 1})})), quiet))!;
+		const start = startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1, {attemptLimit: 1})})), quiet))!;
 		const refusal = driver.head(start.attemptId, {status: 503, isDeclaredNotRun: true, report: quiet()})
 			.find((effect): effect is CallEffect & {type: 'refuse'} => effect.type === 'refuse');
 		expect([refusal?.outcome, refusal !== undefined && refusal.retryAfterMilliseconds! <= 10]).toEqual(['not-run', true]);
@@ -309,7 +309,7 @@
 	it('bounds the backend servers that a call is sent to', () => {
 		const driver = driverOf(6);
 		const seen: string[] = [];
-		let start = startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1, {maxAttempts: 2})})), quiet));
+		let start = startIn(answer(driver, loadProbesIn(driver.handle({type: 'call-arrived', request: readOf(1, {attemptLimit: 2})})), quiet));
 		while (start !== undefined) {
 			seen.push(start.identity);
 			driver.sent(start.attemptId);
--- a/src/common/calls/evacuation.test.ts
+++ b/src/common/calls/evacuation.test.ts
@@ -5,7 +5,7 @@
 import {type CallConfiguration, type CallEffect} from './types.ts';
 
 const rule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, maxAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, attemptLimit: 3, priority: 0,
 };
 
 /** Backend servers 0 and 1 are in the data centre `north`, the others in `south`. */
--- a/src/common/calls/hedging.ts
+++ b/src/common/calls/hedging.ts
@@ -9,7 +9,7 @@
  * Maximum attempts of one call, independent of the retry budget: three backend servers that fail the same call are no
  * coincidence.
  */
-export const maxAttempts = 3;
+export const defaultAttemptLimit = 3;
 
 /** Answers of a class that are required before its quantile is used for hedging. */
 const minHedgeSamples = 50;
@@ -93,7 +93,7 @@
 		}
 
 		const hasRoom = service.queue.size === 0 && !service.limit.isCongested && service.inFlight < service.limit.value;
-		const mayTry = call.probing === undefined && call.attemptCount < (call.request.rule?.maxAttempts ?? maxAttempts);
+		const mayTry = call.probing === undefined && call.attemptCount < (call.request.rule?.attemptLimit ?? defaultAttemptLimit);
 		if (hasRoom && mayTry && call.attempts.size === 1 && !this._context.suspects.isQuarantined(call.request.fingerprint, now) && service.retryBudget.hasToken) {
 			call.failedServers.add(attempt.server);
 			if (this._start(call, now)) {
--- a/src/common/calls/late-calls.test.ts
+++ b/src/common/calls/late-calls.test.ts
@@ -6,7 +6,7 @@
 import {type CallEffect, type CallRequest, type CallRule} from './types.ts';
 
 const rule: CallRule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 8000, objectiveMilliseconds: 2500, maxAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 8000, objectiveMilliseconds: 2500, attemptLimit: 3, priority: 0,
 };
 
 /** Work time of the calls from which the VM learns the cost of the service's calls. */
--- a/src/common/calls/rate-limit.test.ts
+++ b/src/common/calls/rate-limit.test.ts
@@ -9,7 +9,7 @@
 import {OwnerRateQuota} from './rate-quota.ts';
 
 const rule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 400, maxAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 400, attemptLimit: 3, priority: 0,
 };
 
 function readOf(callId: number): CallEvent {
--- a/src/common/calls/retrying-callers.test.ts
+++ b/src/common/calls/retrying-callers.test.ts
@@ -3,7 +3,7 @@
 import {type CallRule} from './types.ts';
 
 const rule: CallRule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, maxAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, attemptLimit: 3, priority: 0,
 };
 
 function callersAfter(times: readonly number[]): RetryingCallers {
--- a/src/common/calls/types.ts
+++ b/src/common/calls/types.ts
@@ -60,7 +60,7 @@
 	/** Latency objective: answers within this time count as good. */
 	readonly objectiveMilliseconds: Milliseconds;
 	/** Maximum number of attempts, the first one included. */
-	readonly maxAttempts: number;
+	readonly attemptLimit: number;
 	/** Priority among the calls of a service; 0 = most urgent. */
 	readonly priority: number;
 };
--- a/src/common/calls/warm-up.test.ts
+++ b/src/common/calls/warm-up.test.ts
@@ -10,7 +10,7 @@
 import {OwnerRateQuota} from './rate-quota.ts';
 
 const rule = {
-	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, maxAttempts: 3, priority: 0,
+	route: 'reads', isIdempotent: true, timeoutMilliseconds: 1200, objectiveMilliseconds: 300, attemptLimit: 3, priority: 0,
 };
 
 /** Calls per second that a warming backend server may get. */
--- a/src/common/registry/registry-driver.test.ts
+++ b/src/common/registry/registry-driver.test.ts
@@ -47,7 +47,7 @@
 					routes: [{
 						name: 'all', host: 'one', prefix: '/', parts: [{service: 'orders', weight: 1}],
 						rule: {
-							route: 'main', isIdempotent: true, timeoutMilliseconds: 1500, objectiveMilliseconds: 300, maxAttempts: 2, priority: 0,
+							route: 'main', isIdempotent: true, timeoutMilliseconds: 1500, objectiveMilliseconds: 300, attemptLimit: 2, priority: 0,
 						},
 					}],
 					limits: {
--- a/src/common/routing/routing.test.ts
+++ b/src/common/routing/routing.test.ts
@@ -8,7 +8,7 @@
 function route(host: string, prefix: string, parts: readonly SplitPart[] = [{service: `${host}${prefix}`, weight: 1}]): Route {
 	return {
 		name: prefix, host, prefix, parts, rule: {
-			route: 'main', isIdempotent: true, timeoutMilliseconds: 1000, objectiveMilliseconds: 300, maxAttempts: 2, priority: 0,
+			route: 'main', isIdempotent: true, timeoutMilliseconds: 1000, objectiveMilliseconds: 300, attemptLimit: 2, priority: 0,
 		},
 	};
 }
--- a/src/proof/fuzz/call-world.ts
+++ b/src/proof/fuzz/call-world.ts
@@ -19,7 +19,7 @@
 /** Creates the engine under test. */
 export type CallEngineFactory = (random: RandomSource) => CallEngine;
 
-const maxAttempts = 3;
+const attemptLimit = 3;
 const silenceMilliseconds = 2000;
 const vmCount = 3;
 const serversPerService = 4;
@@ -111,7 +111,7 @@
 			isIdempotent: call.isIdempotent,
 			...(call.key !== undefined && {key: `${call.service}/${call.key}`}),
 			// The deadline of the call applies to the head only. The body takes more time, and may fall silent and be resumed twice.
-			dueAt: this.timeline.now + (maxAttempts * (call.timeoutMilliseconds + call.bodyMilliseconds + silenceMilliseconds)),
+			dueAt: this.timeline.now + (attemptLimit * (call.timeoutMilliseconds + call.bodyMilliseconds + silenceMilliseconds)),
 		});
 		vm.accept(call);
 	}
