--- a/src/daemon/burn-reporter.ts
+++ b/src/daemon/burn-reporter.ts
@@ -1,4 +1,4 @@
-/** The report on service-level burn, made on the VM that is asked. */
+/** Creates the report on service-level burn on the VM that receives the request. */
 import {type BurnCopies} from '../common/burn/burn-copies.ts';
 import {type BurnLedger} from '../common/burn/burn-ledger.ts';
 import {makeBurnReport} from '../common/burn/burn-report.ts';
@@ -9,7 +9,7 @@
 import {type Clock} from '../node/clock.ts';
 import {type BurnExchange} from '../node/peers/burn-exchange.ts';
 
-/** What the reporter works with. */
+/** Dependencies of the reporter. */
 export type BurnReporterParts = {
 	readonly identity: string;
 	readonly vmName: string;
@@ -21,11 +21,11 @@
 	readonly copies: BurnCopies;
 };
 
-function ofKind<Kind extends Resource['kind']>(fleet: FleetEngine, kind: Kind): Array<Extract<Resource, {kind: Kind}>> {
+function resourcesOfKind<Kind extends Resource['kind']>(fleet: FleetEngine, kind: Kind): Array<Extract<Resource, {kind: Kind}>> {
 	return fleet.resources().map(({resource}) => resource).filter((resource): resource is Extract<Resource, {kind: Kind}> => resource.kind === kind);
 }
 
-/** Tells this VM's own counts, and merges those of all. */
+/** Supplies this VM's own counts, and merges the counts of all VMs into a report. */
 export class BurnReporter {
 	private readonly _parts: BurnReporterParts;
 
@@ -33,8 +33,8 @@
 		this._parts = parts;
 	}
 
-	/** What this process has counted. */
-	own(): ProcessCounts {
+	/** Counts of this process, by service. */
+	ownCounts(): ProcessCounts {
 		const {identity, vmName, clock, ledger, calls} = this._parts;
 		const now = clock.now();
 		const measuringSpent = new Map<string, number>();
@@ -47,8 +47,8 @@
 		};
 	}
 
-	/** Addresses of the other VMs that serve. */
-	peers(): string[] {
+	/** Peer addresses of all other members that are not dead. */
+	peerAddresses(): string[] {
 		const {fleet, clock, identity} = this._parts;
 		return fleet.status(clock.now()).members
 			.filter(member => member.identity !== identity && member.state !== 'dead')
@@ -58,16 +58,16 @@
 	async report(exchange: BurnExchange): Promise<BurnReport> {
 		const gathered = await exchange.gather();
 		return makeBurnReport({
-			services: ofKind(this._parts.fleet, 'service'),
-			backendServers: ofKind(this._parts.fleet, 'backend-server'),
-			told: [this.own(), ...gathered.told],
+			services: resourcesOfKind(this._parts.fleet, 'service'),
+			backendServers: resourcesOfKind(this._parts.fleet, 'backend-server'),
+			told: [this.ownCounts(), ...gathered.told],
 			copies: gathered.copies,
 			vmsCounted: [this._parts.callAddress, ...this._callAddresses(gathered.answered)],
 			vmsMissing: this._callAddresses(gathered.silent),
 		});
 	}
 
-	/** Operators know VMs by the address of their callers' listener. */
+	/** Converts peer addresses to the addresses of the callers' listeners, by which operators identify VMs. */
 	private _callAddresses(peerAddresses: readonly string[]): string[] {
 		const {members} = this._parts.fleet.status(this._parts.clock.now());
 		return peerAddresses.map(address => members.find(member => member.peerAddress === address)?.callAddress ?? address);
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,4 +1,4 @@
-/** The life of one daemon: its listeners open, its engines run, and it ends when the fleet engine says so. */
+/** Lifecycle of a daemon: opens the listeners, runs the engines, and ends when the fleet engine enters the stage `ended`. */
 import {type EventLoopUtilization, performance} from 'node:perf_hooks';
 import {err, ok, type Result} from 'neverthrow';
 import {describeFailure, failure, type Failure} from '../common/errors/failure.ts';
@@ -24,29 +24,29 @@
 import {type Metrics} from '../node/metrics/types.ts';
 import {type BurnExchange} from '../node/peers/burn-exchange.ts';
 import {type GrpcPeerTransport, type PeerTraffic} from '../node/peers/grpc-peer-transport.ts';
-import {type PauseWatch} from './pause-watch.ts';
+import {type PauseDetector} from './pause-watch.ts';
 import {StopReport} from './stop-report.ts';
 
-/** The parts of a daemon, made by the wiring. */
+/** Parts of a daemon, created by `wiring.ts`. */
 export type DaemonParts = {
 	readonly settings: Settings;
 	readonly clock: Clock;
 	readonly logger: Logger;
 	readonly entryVm: EntryVm;
 	readonly loop: DeciderLoop<EntryVmEvent, EntryVmEffect>;
-	readonly callCarrier: CallEffectExecutor;
+	readonly callEffectExecutor: CallEffectExecutor;
 	readonly fleetCarrier: FleetCarrier;
 	readonly connections: BackendConnections;
 	readonly callerServer: CallerServer;
 	readonly operatorServer: OperatorServer;
 	readonly peers: GrpcPeerTransport;
-	readonly pauseWatch: PauseWatch;
+	readonly pauseDetector: PauseDetector;
 	readonly metrics: Metrics;
 	readonly ledger: BurnLedger;
 	readonly burnExchange: BurnExchange;
 };
 
-/** Ports that the daemon listens on. */
+/** Ports on which the daemon listens. */
 export type DaemonPorts = {
 	readonly callers: number;
 	readonly operators: number;
@@ -55,50 +55,49 @@
 
 export type StartFailure = Failure<'cannot-listen'>;
 
-/** How often the fleet engine hears of this VM's load and connections. */
-const loadEvery: Milliseconds = 500;
+/** Interval at which this VM's load and connections are reported to the fleet engine. */
+const loadReportIntervalMilliseconds: Milliseconds = 500;
 
-/** One running daemon. */
 export class Daemon extends Disposable {
 	private readonly _parts: DaemonParts;
 	private readonly _loadTimer = this._register(new MutableDisposable<DisposableLike>());
 	private readonly _onEnded = this._register(new Emitter<void>());
-	private _utilisation: EventLoopUtilization = performance.eventLoopUtilization();
+	private _previousUtilisation: EventLoopUtilization = performance.eventLoopUtilization();
 	private _lastUtilisation = 0;
-	private _traffic: PeerTraffic;
+	private _reportedTraffic: PeerTraffic;
 	private readonly _stopReport = new StopReport();
 
-	/** The planned stop is over: the process may end. */
+	/** Fires when the planned stop is over and the process may exit. */
 	readonly onEnded = this._onEnded.event;
 
 	constructor(parts: DaemonParts, owned: DisposableStore) {
 		super();
 		this._parts = parts;
-		this._traffic = parts.peers.traffic;
+		this._reportedTraffic = parts.peers.traffic;
 		this._register(owned);
 		this._register(parts.fleetCarrier.onEffect(effect => {
-			this._carryOut(effect);
+			this._handleEffect(effect);
 		}));
-		this._register(parts.callCarrier.onCallEnded(call => {
-			this._countCall(call);
+		this._register(parts.callEffectExecutor.onCallEnded(call => {
+			this._recordCall(call);
 		}));
 		this._register(parts.callerServer.onAnswerCut(({closedBy, bytesLeft, isWhole, incoming}) => {
 			parts.metrics.answerCut(closedBy);
 			if (closedBy === 'here') {
-				this._stopReport.noteCut();
+				this._stopReport.recordCutAnswer();
 				parts.logger.warn('answer cut', {
 					traceparent: String(incoming.headers[traceHeader] ?? ''), bytesLeft, isWhole, closedBy,
 				});
 			}
 		}));
-		this._register(parts.pauseWatch.onWoke(milliseconds => {
+		this._register(parts.pauseDetector.onWoke(milliseconds => {
 			parts.loop.feed({type: 'woke', milliseconds});
 		}));
 	}
 
-	/** Opens the listeners, the callers' last: by then there are peers and operators to learn from. */
+	/** Opens the listeners. The callers' listener is the last, so that peers and operators can already supply a configuration. */
 	async start(): Promise<Result<DaemonPorts, StartFailure>> {
-		const {settings, fleetCarrier, callerServer, operatorServer, pauseWatch} = this._parts;
+		const {settings, fleetCarrier, callerServer, operatorServer, pauseDetector} = this._parts;
 		const peers = await this._parts.peers.listen();
 		if (peers.isErr()) {
 			return err(failure('cannot-listen', describeFailure(peers.error), {field: 'peers', cause: peers.error}));
@@ -114,19 +113,19 @@
 			return err(callers.error);
 		}
 
-		pauseWatch.start();
+		pauseDetector.start();
 		this._parts.burnExchange.start();
 		fleetCarrier.start(settings.platform.pollMilliseconds);
-		this._tellLoad();
+		this._reportLoad();
 		return ok({callers: callers.value, operators: operators.value, peers: peers.value});
 	}
 
-	/** Begins the planned stop; `onEnded` tells when it is over. */
+	/** Begins the planned stop; `onEnded` fires when it is over. */
 	stop(): void {
 		this._parts.loop.feed({type: 'stop-requested', by: 'signal'});
 	}
 
-	private _carryOut(effect: OutwardEffect): void {
+	private _handleEffect(effect: OutwardEffect): void {
 		const {connections, logger} = this._parts;
 		switch (effect.type) {
 			case 'configured': {
@@ -157,9 +156,9 @@
 		}
 	}
 
-	private _countCall({summary, traceId}: EndedCall): void {
+	private _recordCall({summary, traceId}: EndedCall): void {
 		const {ledger, metrics, logger, clock} = this._parts;
-		this._stopReport.noteCall(summary);
+		this._stopReport.recordCall(summary);
 		ledger.count(summary.service, summary.isGood, clock.now());
 		metrics.callEnded(summary);
 		const level = summary.isGood ? 'trace' : 'debug';
@@ -207,7 +206,7 @@
 		}
 	}
 
-	private _tellLoad(): void {
+	private _reportLoad(): void {
 		void this._parts.callerServer.countConnections().then(openConnections => {
 			const callsInFlight = this._parts.callerServer.unfinishedAnswers;
 			const idleConnections = Math.max(0, openConnections - callsInFlight);
@@ -215,12 +214,12 @@
 			this._reportGauges(openConnections);
 		});
 		const latest = performance.eventLoopUtilization();
-		const {utilization} = performance.eventLoopUtilization(latest, this._utilisation);
-		this._utilisation = latest;
+		const {utilization} = performance.eventLoopUtilization(latest, this._previousUtilisation);
+		this._previousUtilisation = latest;
 		this._lastUtilisation = utilization;
 		this._parts.loop.feed({type: 'utilisation', utilisation: utilization});
-		this._loadTimer.value = this._parts.clock.after(loadEvery, () => {
-			this._tellLoad();
+		this._loadTimer.value = this._parts.clock.after(loadReportIntervalMilliseconds, () => {
+			this._reportLoad();
 		});
 	}
 
@@ -238,8 +237,8 @@
 			measuringPart: fleet.shares.loadProbeFraction,
 		});
 		const {traffic} = this._parts.peers;
-		metrics.peerTraffic('in', traffic.messagesIn - this._traffic.messagesIn, traffic.bytesIn - this._traffic.bytesIn);
-		metrics.peerTraffic('out', traffic.messagesOut - this._traffic.messagesOut, traffic.bytesOut - this._traffic.bytesOut);
-		this._traffic = traffic;
+		metrics.peerTraffic('in', traffic.messagesIn - this._reportedTraffic.messagesIn, traffic.bytesIn - this._reportedTraffic.bytesIn);
+		metrics.peerTraffic('out', traffic.messagesOut - this._reportedTraffic.messagesOut, traffic.bytesOut - this._reportedTraffic.bytesOut);
+		this._reportedTraffic = traffic;
 	}
 }
--- a/src/daemon/describe-call.test.ts
+++ b/src/daemon/describe-call.test.ts
@@ -20,9 +20,9 @@
 	timeLeftMilliseconds: 844.2,
 };
 
-describe('what decided about a call', () => {
-	// Guards operators against a refusal whose line does not say why.
-	it('stands in the line of a refusal that no attempt preceded', () => {
+describe('the log text on the decisions about a call', () => {
+	// Guards operators against the log line of a refusal that gives no reason.
+	it('describes the search for a backend server of a refusal without an attempt', () => {
 		expect(describeGrounds(grounds).split('; ')).toEqual([
 			'321 backend servers known, 310 able, 4 weighed, 4 with a free slot',
 			'work 1159 ms, 982 ms left to the objective and 844 ms in all',
@@ -30,23 +30,23 @@
 		]);
 	});
 
-	it('names the backend servers that warm up', () => {
+	it('counts the backend servers that warm up', () => {
 		expect(describeGrounds({...grounds, warmingUp: 40}).startsWith('321 backend servers known, 40 warming up, 310 able')).toEqual(true);
 	});
 
-	it('names the backend servers whose rate limit is spent', () => {
+	it('counts the backend servers at their rate limit', () => {
 		expect(describeGrounds({...grounds, rateLimited: 3}).startsWith('321 backend servers known, 3 at their rate limit, 310 able')).toEqual(true);
 	});
 
-	it('names the evacuation that leaves no place', () => {
+	it('counts the backend servers in evacuated data centres', () => {
 		expect(describeGrounds({...grounds, evacuated: 120, able: 201}).startsWith('321 backend servers known, 120 in evacuated data centres, 201 able')).toEqual(true);
 	});
 
-	it('says when work is assumed, and when no place was looked for', () => {
+	it('marks an assumed work time, and states that there was no search', () => {
 		expect([describeGrounds({...grounds, isWorkLearnt: false}).includes('work 1159 ms assumed'), describeGrounds(undefined)]).toEqual([true, 'no place was looked for']);
 	});
 
-	it('stands with each attempt', () => {
+	it('describes an attempt', () => {
 		expect(describeAttempt({
 			backendServer: 'i-1', purpose: 'first', atMilliseconds: 2, load: 0, slots: 6, workTimeFactor: 1, reportAgeMilliseconds: 0, grounds: {...grounds, choice: 'free'},
 		})).toEqual('first at 2 ms to i-1: 0/6 calls, work time 1, report 0 ms old, free of 4, in time 35%');
--- a/src/daemon/describe-call.ts
+++ b/src/daemon/describe-call.ts
@@ -1,23 +1,23 @@
-/** What decided about a call, in the words of one log line. */
+/** Formats the decisions on a call for the fields `trail` and `grounds` of its log line. */
 import {type AttemptRecord, type PlacingGrounds} from '../common/calls/types.ts';
 import {type Milliseconds} from '../common/model/units.ts';
 
-function whole(milliseconds: Milliseconds): string {
+function formatTime(milliseconds: Milliseconds): string {
 	return `${Math.round(milliseconds)} ms`;
 }
 
-function percent(chance: number): string {
+function formatPercent(chance: number): string {
 	return `${Math.round(chance * 100)}%`;
 }
 
-/** One attempt as a reader of logs wants it: where, why, by which report and how old. */
+/** Formats an attempt: its purpose, time, backend server and load, the age of the load report, and the placement choice. */
 export function describeAttempt({backendServer, purpose, atMilliseconds, load, slots, workTimeFactor, reportAgeMilliseconds, grounds}: AttemptRecord): string {
-	const age = reportAgeMilliseconds === undefined ? 'no report' : `report ${whole(reportAgeMilliseconds)} old`;
-	const choice = grounds === undefined ? '' : `, ${grounds.choice} of ${grounds.weighed}, in time ${percent(grounds.inTime)}`;
-	return `${purpose} at ${whole(atMilliseconds)} to ${backendServer}: ${load}/${slots} calls, work time ${workTimeFactor ?? '?'}, ${age}${choice}`;
+	const age = reportAgeMilliseconds === undefined ? 'no report' : `report ${formatTime(reportAgeMilliseconds)} old`;
+	const choice = grounds === undefined ? '' : `, ${grounds.choice} of ${grounds.weighed}, in time ${formatPercent(grounds.inTime)}`;
+	return `${purpose} at ${formatTime(atMilliseconds)} to ${backendServer}: ${load}/${slots} calls, work time ${workTimeFactor ?? '?'}, ${age}${choice}`;
 }
 
-/** What the latest look for a place saw and asked for; says so where none was looked for. */
+/** Formats the latest search for a backend server: the candidates, the time left and the required probability. States if there was no search. */
 export function describeGrounds(grounds: PlacingGrounds | undefined): string {
 	if (grounds === undefined) {
 		return 'no place was looked for';
@@ -35,7 +35,7 @@
 			`${weighed} weighed`,
 			`${withFreeSlot} with a free slot`,
 		].join(', '),
-		`work ${whole(workMilliseconds)}${isWorkLearnt ? '' : ' assumed'}, ${whole(objectiveLeftMilliseconds)} left to the objective and ${whole(timeLeftMilliseconds)} in all`,
-		`best chance in time ${percent(inTime)} of ${percent(inTimeNeeded)} needed, at all ${percent(atAll)}`,
+		`work ${formatTime(workMilliseconds)}${isWorkLearnt ? '' : ' assumed'}, ${formatTime(objectiveLeftMilliseconds)} left to the objective and ${formatTime(timeLeftMilliseconds)} in all`,
+		`best chance in time ${formatPercent(inTime)} of ${formatPercent(inTimeNeeded)} needed, at all ${formatPercent(atAll)}`,
 	].join('; ');
 }
--- a/src/daemon/entry-daemon.ts
+++ b/src/daemon/entry-daemon.ts
@@ -1,4 +1,4 @@
-/** The life of an entry VM whose fleet the platform's store leads: its listeners open, its deciders run, and it ends in time. */
+/** Lifecycle of an entry VM whose fleet is coordinated by the platform's store: opens the listeners, runs the deciders, and stops within the grace time. */
 import {type Result} from 'neverthrow';
 import {describeFailure, type Failure} from '../common/errors/failure.ts';
 import {type EntryVm} from '../common/entry-vm/entry-vm.ts';
@@ -27,7 +27,7 @@
 import {describeAttempt, describeGrounds} from './describe-call.ts';
 import {StopReport} from './stop-report.ts';
 
-/** The parts of the daemon, made by the wiring. */
+/** Parts of the daemon, created by `entry-wiring.ts`. */
 export type EntryDaemonParts = {
 	readonly settings: EntrySettings;
 	readonly clock: Clock;
@@ -36,28 +36,28 @@
 	readonly metrics: Metrics;
 	readonly entryVm: EntryVm<RegistryFleet>;
 	readonly loop: DeciderLoop<EntryVmEvent, EntryVmEffect>;
-	readonly callCarrier: CallEffectExecutor;
+	readonly callEffectExecutor: CallEffectExecutor;
 	readonly storeCarrier: StoreCarrier;
 	readonly connections: BackendConnections;
 	readonly routedServer: RoutedServer;
 	readonly readinessServer: PageServer;
-	/** Ends when this VM serves. */
-	readonly hold: ReadinessGate;
+	/** Opened when this VM leaves the stage `starting`. */
+	readonly readinessGate: ReadinessGate;
 	readonly directoryServer: PageServer;
 	readonly feedServer: FeedServer;
 	readonly metricsServer: PageServer;
-	/** Opened before the program was loaded, by their endpoints. */
+	/** Listeners opened before the program was loaded, by endpoint. */
 	readonly listeners: EarlyListeners;
 };
 
-/** How often the decider of the stop hears of calls in flight: a stop has seconds, and only a stop needs it. */
-const trafficEvery: Milliseconds = 100;
+/** Interval at which the calls in flight are reported to the fleet decider during a stop, which lasts seconds. Only a stop uses the number. */
+const trafficReportIntervalMilliseconds: Milliseconds = 100;
 
-/** Lines a second for calls that went well: twice the calls of a VM on a calm day, which had 10 to 15. */
-const goodLinesASecond = 30;
+/** Maximum log lines per second for good calls: twice the calls of a VM under light load, which are 10 to 15 per second. */
+const maxGoodCallLinesPerSecond = 30;
 
-/** Lines a second for calls that came to nothing or late: what explains a failure is left out last. */
-const badLinesASecond = 100;
+/** Maximum log lines per second for calls that failed or were late. It is higher, since these lines explain failures. */
+const maxBadCallLinesPerSecond = 100;
 
 /** Splits `IP:PORT`. */
 export function splitEndpoint(endpoint: string): {readonly address: string; readonly port: number} {
@@ -65,16 +65,15 @@
 	return {address: endpoint.slice(0, colon).replaceAll(/[\[\]]/gv, ''), port: Number(endpoint.slice(colon + 1))};
 }
 
-/** One running entry VM. */
 export class EntryDaemon extends Disposable {
 	private readonly _parts: EntryDaemonParts;
 	private readonly _trafficTimer = this._register(new MutableDisposable<DisposableLike>());
 	private readonly _onEnded = this._register(new Emitter<void>());
-	private readonly _goodLines = new LineBudget(goodLinesASecond);
-	private readonly _badLines = new LineBudget(badLinesASecond);
+	private readonly _goodCallLines = new LineBudget(maxGoodCallLinesPerSecond);
+	private readonly _badCallLines = new LineBudget(maxBadCallLinesPerSecond);
 	private readonly _stopReport = new StopReport();
 
-	/** The planned stop is over: the process may end. */
+	/** Fires when the planned stop is over and the process may exit. */
 	readonly onEnded = this._onEnded.event;
 
 	constructor(parts: EntryDaemonParts, owned: DisposableStore) {
@@ -82,23 +81,23 @@
 		this._parts = parts;
 		this._register(owned);
 		this._register(parts.storeCarrier.onEffect(effect => {
-			this._carryOut(effect);
+			this._handleEffect(effect);
 		}));
-		this._register(parts.callCarrier.onCallEnded(call => {
+		this._register(parts.callEffectExecutor.onCallEnded(call => {
 			this._logCall(call);
 		}));
-		this._register(parts.callCarrier.onRateLimitChanged(change => {
-			this._noteRateLimit(change);
+		this._register(parts.callEffectExecutor.onRateLimitChanged(change => {
+			this._logRateLimit(change);
 		}));
 		this._register(parts.routedServer.onAnswerCut(cut => {
-			this._logCut(cut);
+			this._logCutAnswer(cut);
 		}));
 		this._register(parts.routedServer.onCallRefusedAtStop(() => {
-			this._stopReport.noteRefusal();
+			this._stopReport.recordRefusal();
 		}));
 	}
 
-	/** Reads the store at once, and opens the listeners meanwhile. */
+	/** Starts reading the store and opens the listeners at the same time. Resolves with a failure if a listener cannot be opened. */
 	async start(): Promise<Failure<'cannot-listen'> | undefined> {
 		const {settings, loop, routedServer, readinessServer, directoryServer, feedServer, metricsServer, listeners: earlyListeners} = this._parts;
 		loop.feed({type: 'started'});
@@ -122,20 +121,20 @@
 		return undefined;
 	}
 
-	/** Begins the planned stop; `onEnded` tells when it is over. */
+	/** Begins the planned stop; `onEnded` fires when it is over. */
 	stop(): void {
 		const callsInFlight = this._parts.routedServer.unfinishedAnswers;
 		this._parts.logger.info('stop requested', {callsInFlight});
 		this._stopReport.begin(callsInFlight);
 		this._parts.loop.feed({type: 'stop-requested', by: 'signal'});
-		this._tellTraffic();
+		this._reportTraffic();
 	}
 
-	/** The settings file has changed: what can change while calls run does, the rest is told. */
+	/** Applies a changed settings file: the log level changes at once; other changed tables are logged and take effect at the next start. */
 	reload(loaded: Result<EntrySettings, ReadonlyArray<Failure<string>>>): void {
 		const {logger, logControl, settings} = this._parts;
 		if (loaded.isErr()) {
-			logger.error('settings rejected; those in force stay', {failures: loaded.error.map(problem => describeFailure(problem)).join('; ')});
+			logger.error('settings rejected; the current settings remain in force', {failures: loaded.error.map(problem => describeFailure(problem)).join('; ')});
 			return;
 		}
 
@@ -145,7 +144,7 @@
 		logger.info('settings read again', {level: loaded.value.log.level, takenAtNextStart: changed.join(',')});
 	}
 
-	private _carryOut(effect: OutwardEffect): void {
+	private _handleEffect(effect: OutwardEffect): void {
 		const {connections, logger, metrics, routedServer} = this._parts;
 		switch (effect.type) {
 			case 'configured': {
@@ -182,7 +181,7 @@
 		this._stopReport.enter(stage, this._parts.clock.now());
 		this._parts.routedServer.enter(stage);
 		if (stage !== 'starting') {
-			this._parts.hold.open();
+			this._parts.readinessGate.open();
 		}
 
 		if (stage === 'leaving' || stage === 'draining') {
@@ -205,12 +204,12 @@
 		return [readinessServer, directoryServer, metricsServer];
 	}
 
-	/** Calls that came to nothing are written whenever a line is left in the budget; of the others only as many as fit beside. */
+	/** Logs a completed call. Good calls and bad calls each have a budget of lines per second; the next line written states how many were omitted. */
 	private _logCall({summary, traceId}: EndedCall): void {
 		const {logger, clock, metrics} = this._parts;
 		metrics.callEnded(summary);
-		this._stopReport.noteCall(summary);
-		const budget = summary.isGood ? this._goodLines : this._badLines;
+		this._stopReport.recordCall(summary);
+		const budget = summary.isGood ? this._goodCallLines : this._badCallLines;
 		const {isWritten, leftOut} = budget.take(clock.now());
 		if (!isWritten || !logger.isEnabled('info')) {
 			return;
@@ -231,40 +230,40 @@
 		});
 	}
 
-	private _noteRateLimit({identity, service, rateLimit, source, limitedServers}: RateLimitChanged): void {
+	private _logRateLimit({identity, service, rateLimit, source, limitedServers}: RateLimitChanged): void {
 		const {logger, metrics} = this._parts;
 		metrics.rateLimits(limitedServers);
 		if (rateLimit === 'unreadable') {
 			metrics.rateLimitUnreadable(service);
-			logger.warn('a backend server names a rate limit that cannot be read', {backendServer: identity, service, source});
+			logger.warn('backend server announced an unreadable rate limit', {backendServer: identity, service, source});
 		} else if (rateLimit === undefined) {
-			logger.info('a backend server names no rate limit any more', {backendServer: identity, service, source});
+			logger.info('backend server no longer announces a rate limit', {backendServer: identity, service, source});
 		} else {
-			logger.info('a backend server names a rate limit', {
+			logger.info('backend server announced a rate limit', {
 				backendServer: identity, service, callsPerSecond: rateLimit, source,
 			});
 		}
 	}
 
-	/** A call that ended well may still be cut on its way out; this line is what tells of it. */
-	private _logCut({closedBy, ...cut}: CutAnswerReport): void {
+	/** Logs an answer that was cut. The answer of a call that ended well may still be cut while it is sent, and only this line shows that. */
+	private _logCutAnswer({closedBy, ...cut}: CutAnswerReport): void {
 		const {logger, clock, metrics} = this._parts;
 		metrics.answerCut(closedBy);
 		if (closedBy === 'here') {
-			this._stopReport.noteCut();
+			this._stopReport.recordCutAnswer();
 		}
 
-		const {isWritten, leftOut} = this._badLines.take(clock.now());
+		const {isWritten, leftOut} = this._badCallLines.take(clock.now());
 		if (isWritten) {
 			logger[closedBy === 'here' ? 'warn' : 'info']('answer cut', {...cut, closedBy, ...(leftOut === 0 ? {} : {leftOut})});
 		}
 	}
 
-	private _tellTraffic(): void {
+	private _reportTraffic(): void {
 		const callsInFlight = this._parts.routedServer.unfinishedAnswers;
 		this._parts.loop.feed({type: 'traffic', traffic: {openConnections: callsInFlight, idleConnections: 0, callsInFlight}});
-		this._trafficTimer.value = this._parts.clock.after(trafficEvery, () => {
-			this._tellTraffic();
+		this._trafficTimer.value = this._parts.clock.after(trafficReportIntervalMilliseconds, () => {
+			this._reportTraffic();
 		});
 	}
 }
--- a/src/daemon/entry-wiring.ts
+++ b/src/daemon/entry-wiring.ts
@@ -1,6 +1,7 @@
 /**
- * The one place where the parts of a store-led entry VM are made. It stands beside `wiring.ts`, which makes the VM of a
- * self-led fleet, because what a process imports it pays for: gRPC, the resource API and membership are no part of it.
+ * Creates and connects the parts of an entry VM whose fleet is coordinated by the platform's store. It is separate from
+ * `wiring.ts`, for the VM of a self-coordinated fleet, because each import costs start time and memory: this VM needs neither
+ * gRPC nor the resource API nor membership.
  */
 import {DefaultCallEngine} from '../common/calls/call-engine.ts';
 import {OwnerRateQuota} from '../common/calls/rate-quota.ts';
@@ -35,45 +36,44 @@
 import {EntryDaemon} from './entry-daemon.ts';
 import {newIdentity, type Hashes} from './identity.ts';
 
-/** Opening a connection takes about 1 ms, and 3 ms to another data centre; a tenth of a call's time is lost with one that hangs. */
+/** A connection opens within about 1 ms, or 3 ms to another data centre. One that hangs until this timeout costs a tenth of a call's time. */
 const connectMilliseconds = 300;
 
-/** Below the time after which backend servers close idle connections, which they tell in a header of their answers. */
-const backendIdleMilliseconds = 9000;
+/** Shorter than the idle timeout of backend servers, which they announce in a header of their answers. */
+const backendIdleTimeoutMilliseconds = 9000;
 
-/** A caller that takes no byte for this long has gone: its connection is silent. */
+/** A caller that reads no byte for this long is assumed to be gone. */
 const stallMilliseconds = 5000;
 
-/** Pause between two watches, as a part of the time within which a change is in force. */
-const watchPausePart = 0.4;
+/** Pause between two watches, as a fraction of the time within which a change must be in force. */
+const watchPauseFraction = 0.4;
 
-/** How long an idle connection to the directory is kept: as long as callers wait between two questions. */
-const pageIdleMilliseconds = 6000;
+/** Idle connections to the directory are kept for as long as callers wait between two requests. */
+const pageIdleTimeoutMilliseconds = 6000;
 
-/** The page of counters. */
 const metricsPath = '/metrics';
 
-/** VMs that a caller may use, and how long it may keep the answer. */
+/** Addresses of the VMs that a caller may use, and how long it may cache them. */
 type AddressList = {readonly addresses: readonly string[]; readonly keepForMilliseconds: number};
 
-/** What the platform brings: its store, its documents, its way of speaking. */
+/** Platform-specific parts: the store client, the document codec and the dialect of its callers and backend servers. */
 export type PlatformParts = {
 	readonly store: PlatformClient & {dispose(): void};
 	readonly documents: DocumentCodec;
 	readonly layout: StoreLayout;
 	readonly dialect: RoutedDialect;
-	/** Statuses that callers read as "has not run". */
+	/** Statuses that callers interpret as "the call has not run". */
 	readonly notRunStatuses: ReadonlySet<number>;
-	/** The directory's page for a URL. */
+	/** Returns the directory's page for a URL, or `undefined` if the URL is not the directory's. */
 	readonly directoryPage: (url: string, answer: (service: string, dataCentre: string | undefined) => AddressList) => Page | undefined;
-	/** The page by which the platform learns whether this VM is ready. */
+	/** Path of the page from which the platform reads whether this VM is ready. */
 	readonly readinessPath: string;
-	/** Listeners that were opened before the program was loaded. */
+	/** Listeners opened before the program was loaded. */
 	readonly listeners?: EarlyListeners;
 };
 
-/** An answer that waits for the VM to be ready, if it is just starting. */
-async function held<Answer>(readinessGate: ReadinessGate, make: () => Answer): Promise<Answer> {
+/** Creates an answer once the readiness gate lets requests through. */
+async function answerWhenReady<Answer>(readinessGate: ReadinessGate, make: () => Answer): Promise<Answer> {
 	return new Promise(resolve => {
 		readinessGate.whenReady(() => {
 			resolve(make());
@@ -94,7 +94,7 @@
 		layout,
 		leaseMilliseconds: settings.store.leaseSeconds * 1000,
 		memberHeartbeatMilliseconds: defaultMemberHeartbeatMilliseconds,
-		watchPauseMilliseconds: settings.store.convergeSeconds * 1000 * watchPausePart,
+		watchPauseMilliseconds: settings.store.convergeSeconds * 1000 * watchPauseFraction,
 		convergeMilliseconds: settings.store.convergeSeconds * 1000,
 		seeds: settings.seeds,
 		heartbeatMilliseconds: settings.store.heartbeatSeconds * 1000,
@@ -103,7 +103,7 @@
 	};
 }
 
-/** Makes an entry VM from checked settings. Nothing listens yet. */
+/** Creates an entry VM from validated settings. No listener is open yet. */
 export function wireEntryDaemon(settings: EntrySettings, platform: PlatformParts, logging: Logging, hashes: Hashes): EntryDaemon {
 	const owned = new DisposableStore();
 	const {logger} = logging;
@@ -123,26 +123,26 @@
 	const feedClient = owned.add(new FeedClient(loop, logger));
 	const vmProbeClient = owned.add(new VmProbeClient(loop));
 	const feedServer = owned.add(new FeedServer(metrics, {whole: () => fleet.feed(clock.now()), isServing: identity => fleet.isServing(identity)}, loop));
-	const connections = owned.add(new BackendConnections({connectMilliseconds, idleMilliseconds: backendIdleMilliseconds}));
-	const callCarrier = owned.add(new CallEffectExecutor(loop, new CountedMeasurer(new HttpLoadProbeClient(connections, platform.dialect), metrics), noKeys));
+	const connections = owned.add(new BackendConnections({connectMilliseconds, idleMilliseconds: backendIdleTimeoutMilliseconds}));
+	const callEffectExecutor = owned.add(new CallEffectExecutor(loop, new CountedMeasurer(new HttpLoadProbeClient(connections, platform.dialect), metrics), noKeyClaimer));
 	const readinessGate = owned.add(new ReadinessGate());
 	const routedServer = owned.add(new RoutedServer({
-		sink: loop, calls: callCarrier, connections, dialect: platform.dialect, routes: new RouteTable(random), fingerprint: hashes.fingerprint, readinessGate,
+		sink: loop, calls: callEffectExecutor, connections, dialect: platform.dialect, routes: new RouteTable(random), fingerprint: hashes.fingerprint, readinessGate,
 	}, {
 		keptBodyBytes: settings.calls.replayBytes, connections: settings.calls.connections, stallMilliseconds,
 	}));
 	const readinessServer = owned.add(new PageServer(url => {
 		const isReady = fleet.status(clock.now()).stage === 'serving';
 		return url === platform.readinessPath ? {status: isReady ? 200 : 503} : undefined;
-	}, pageIdleMilliseconds));
-	const directoryServer = owned.add(new PageServer(async url => held(readinessGate, () => platform.directoryPage(url, (service, dataCentre) => {
+	}, pageIdleTimeoutMilliseconds));
+	const directoryServer = owned.add(new PageServer(async url => answerWhenReady(readinessGate, () => platform.directoryPage(url, (service, dataCentre) => {
 		const {addresses, keepForMilliseconds} = fleet.addresses(service, dataCentre);
 		return {addresses: addresses.map(({address}) => address), keepForMilliseconds};
-	})), pageIdleMilliseconds));
-	const metricsServer = owned.add(new PageServer(async url => url === metricsPath ? metricsPage(metrics) : undefined, pageIdleMilliseconds));
+	})), pageIdleTimeoutMilliseconds));
+	const metricsServer = owned.add(new PageServer(async url => url === metricsPath ? metricsPage(metrics) : undefined, pageIdleTimeoutMilliseconds));
 	loop.setCarrier(effect => {
 		if (isCallEffect(effect)) {
-			callCarrier.execute(effect);
+			callEffectExecutor.execute(effect);
 			return;
 		}
 
@@ -180,18 +180,18 @@
 		metrics,
 		entryVm,
 		loop,
-		callCarrier,
+		callEffectExecutor,
 		storeCarrier,
 		connections,
 		routedServer,
 		readinessServer,
 		directoryServer,
-		hold: readinessGate,
+		readinessGate,
 		feedServer,
 		metricsServer,
 		listeners: platform.listeners ?? new Map(),
 	}, owned);
 }
 
-/** No route asks for keys: what may run twice is declared by its kind. */
-const noKeys = {claim: () => undefined, release: async () => undefined};
+/** Routes claim no idempotency keys: the type of a route declares whether its calls may run more than once. */
+const noKeyClaimer = {claim: () => undefined, release: async () => undefined};
--- a/src/daemon/fleet-gateway.ts
+++ b/src/daemon/fleet-gateway.ts
@@ -1,4 +1,4 @@
-/** What the resource API asks, answered by the fleet and call engines of this VM. */
+/** Serves the requests of the resource API from the fleet engine and the call engine of this VM. */
 import {err, ok, type Result} from 'neverthrow';
 import {Maybe} from 'true-myth/maybe';
 import {type BurnReport} from '../common/burn/types.ts';
@@ -18,7 +18,7 @@
 import {type LogControl, type Logger} from '../node/logging/types.ts';
 import {newIdentity} from './identity.ts';
 
-/** What the gateway answers from. */
+/** Dependencies of the gateway. */
 export type GatewayParts = {
 	readonly vmName: string;
 	readonly dataCentre: string;
@@ -26,16 +26,16 @@
 	readonly fleet: FleetEngine;
 	readonly fleetCarrier: FleetCarrier;
 	readonly calls: CallEngine;
-	/** Lifts on all VMs; answers with those that could not be told. */
-	readonly liftEverywhere: (fingerprint: string) => Promise<readonly string[]>;
+	/** Lifts the quarantine of a fingerprint on all VMs; resolves with the addresses of those that could not be reached. */
+	readonly liftOnAllVms: (fingerprint: string) => Promise<readonly string[]>;
 	readonly burn: () => Promise<BurnReport>;
 	readonly logger: Logger;
 	readonly logControl: LogControl;
 	readonly wallClock: () => Date;
 };
 
-/** Longest history that is looked through for an operation or a watch. */
-const historyReach = 1000;
+/** Maximum number of history entries searched for an operation or a watch. */
+const maxHistoryEntries = 1000;
 
 function toRecord(change: ChangeSummary): ChangeRecord {
 	return {
@@ -62,7 +62,6 @@
 	};
 }
 
-/** The gateway of one daemon. */
 export class FleetGateway implements OperatorGateway {
 	private readonly _parts: GatewayParts;
 
@@ -71,14 +70,14 @@
 	}
 
 	list(kind: ResourceKind | undefined): Result<ResourcesInForce, GatewayFailure> {
-		return this._ready().map(version => ({
+		return this._requireConfiguration().map(version => ({
 			version,
 			items: this._parts.fleet.resources().filter(item => kind === undefined || item.resource.kind === kind),
 		}));
 	}
 
 	get(key: ResourceKey): Result<Maybe<StoredResource>, GatewayFailure> {
-		return this._ready().map(() => Maybe.of(this._parts.fleet.resource(key)));
+		return this._requireConfiguration().map(() => Maybe.of(this._parts.fleet.resource(key)));
 	}
 
 	async change(request: ChangeRequest, operator: string): Promise<Result<ChangeAccepted, GatewayFailure>> {
@@ -93,13 +92,13 @@
 				}
 				: {type: 'delete', key: mutation.key, expectedVersion: mutation.expected}),
 		});
-		this._parts.logger.info('change asked for', {operator, operation: request.operation, answer: answer.type});
+		this._parts.logger.info('change requested', {operator, operation: request.operation, answer: answer.type});
 		return this._toResult(request, answer);
 	}
 
 	operation(operation: string): Result<OperationState, GatewayFailure> {
-		return this._ready().map(() => {
-			const change = this._parts.fleet.history(historyReach).find(item => item.operationId === operation);
+		return this._requireConfiguration().map(() => {
+			const change = this._parts.fleet.history(maxHistoryEntries).find(item => item.operationId === operation);
 			return change === undefined ? {state: 'not-in-force', operation} : {state: 'accepted', operation, version: change.version};
 		});
 	}
@@ -107,18 +106,18 @@
 	async watch(after: number, milliseconds: number, signal: AbortSignal): Promise<Result<WatchUpdate, GatewayFailure>> {
 		const version = this._parts.fleet.status(this._parts.clock.now()).configurationVersion;
 		if (version <= after) {
-			await this._nextVersion(milliseconds, signal);
+			await this._waitForConfiguration(milliseconds, signal);
 		}
 
-		return this._ready().map(current => {
-			const history = this._parts.fleet.history(historyReach).filter(change => change.version > after);
+		return this._requireConfiguration().map(current => {
+			const history = this._parts.fleet.history(maxHistoryEntries).filter(change => change.version > after);
 			const records = history.map(change => toRecord(change)).toReversed();
 			return {version: current, records, isReset: records.length < current - after};
 		});
 	}
 
 	history(limit: number): Result<readonly ChangeRecord[], GatewayFailure> {
-		return this._ready().map(() => this._parts.fleet.history(limit).map(change => toRecord(change)));
+		return this._requireConfiguration().map(() => this._parts.fleet.history(limit).map(change => toRecord(change)));
 	}
 
 	status(): Status {
@@ -152,10 +151,10 @@
 	async drain(vm: string, operator: string): Promise<Result<VmStatus, GatewayFailure>> {
 		const member = this.vms().find(item => item.identity === vm || item.address === vm);
 		if (member === undefined) {
-			return err(failure('not-found', `no VM ${vm} is known here`, {field: 'vm'}));
+			return err(failure('not-found', `this VM has no record of a VM ${vm}`, {field: 'vm'}));
 		}
 
-		this._parts.logger.info('drain asked for', {operator, vm: member.address});
+		this._parts.logger.info('drain requested', {operator, vm: member.address});
 		this._parts.fleetCarrier.drain(member.identity);
 		return ok({...member, state: 'leaving'});
 	}
@@ -170,11 +169,11 @@
 
 	async liftQuarantine(fingerprint: string, operator: string): Promise<Result<void, GatewayFailure>> {
 		if (!this.quarantine().some(entry => entry.fingerprint === fingerprint)) {
-			return err(failure('not-found', `no call ${fingerprint} is quarantined here`, {field: 'fingerprint'}));
+			return err(failure('not-found', `this VM has no quarantined call ${fingerprint}`, {field: 'fingerprint'}));
 		}
 
-		const silent = await this._parts.liftEverywhere(fingerprint);
-		this._parts.logger.info('quarantine lifted', {operator, fingerprint, notTold: silent.join(' ')});
+		const unreachableVms = await this._parts.liftOnAllVms(fingerprint);
+		this._parts.logger.info('quarantine lifted', {operator, fingerprint, notTold: unreachableVms.join(' ')});
 		return ok(undefined);
 	}
 
@@ -186,15 +185,15 @@
 		this._parts.logControl.setLevel(level);
 	}
 
-	private _ready(): Result<number, GatewayFailure> {
+	private _requireConfiguration(): Result<number, GatewayFailure> {
 		const {stage, configurationVersion} = this._parts.fleet.status(this._parts.clock.now());
 		return stage === 'starting'
 			? err(failure('not-ready', 'this VM has no configuration yet; another VM may have one'))
 			: ok(configurationVersion);
 	}
 
-	/** Resolves at the next configuration in force, when the time is over, or when the signal ends the wait. */
-	private async _nextVersion(milliseconds: number, signal: AbortSignal): Promise<void> {
+	/** Resolves when the next configuration is in force, after `milliseconds`, or when the signal aborts the wait. */
+	private async _waitForConfiguration(milliseconds: number, signal: AbortSignal): Promise<void> {
 		return new Promise(resolve => {
 			const finish = () => {
 				subscription.dispose();
@@ -221,12 +220,12 @@
 
 			case 'conflict': {
 				const winner = {key: answer.key, version: answer.winningVersion, operator: answer.who ?? null};
-				return err({...failure('conflict', `${answer.key} was changed in between`, {field: answer.key}), winner});
+				return err({...failure('conflict', `${answer.key} was changed by another operation`, {field: answer.key}), winner});
 			}
 
 			case 'unknown': {
-				const beneath = failure('outcome-unknown', 'the store did not answer; the change may be in force; sending it again is safe');
-				return err({...beneath, operation: request.operation});
+				const unknownOutcome = failure('outcome-unknown', 'the store did not answer; the change may be in force; sending it again is safe');
+				return err({...unknownOutcome, operation: request.operation});
 			}
 
 			case 'refused': {
--- a/src/daemon/identity.ts
+++ b/src/daemon/identity.ts
@@ -1,22 +1,21 @@
-/** Fresh identities and digests of one process. */
+/** Creates identities, and loads the hash functions of the process. */
 import xxhash from 'xxhash-wasm';
 import {entropyBytes} from '../node/entropy.ts';
 
 const identityBytes = 16;
 
-/** 128 random bits in base64url: never made twice, so it tells a process or resource from its successor. */
+/** Returns 128 random bits in base64url. The value is unique, so it distinguishes a process or resource from its successor. */
 export function newIdentity(): string {
 	return entropyBytes(identityBytes).toString('base64url');
 }
 
-/** Hash functions of the process; the library sets itself up asynchronously. */
+/** Hash functions of the process; the library is initialised asynchronously. */
 export type Hashes = {
 	readonly hash32: (text: string) => number;
 	readonly digest: (text: string) => string;
 	readonly fingerprint: (method: string, path: string, body: Uint8Array) => string;
 };
 
-/** Loads the hash library. */
 export async function loadHashes(): Promise<Hashes> {
 	const library = await xxhash();
 	return {
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,4 +1,4 @@
-/** The bare daemon, for tests and benchmarks: `node main.ts serve --settings FILE`. */
+/** Command line of the daemon alone, for tests and benchmarks: `node main.ts serve --settings FILE`. */
 import process from 'node:process';
 import sade from 'sade';
 import {describeFailure} from '../common/errors/failure.ts';
--- a/src/daemon/pause-watch.ts
+++ b/src/daemon/pause-watch.ts
@@ -1,28 +1,28 @@
-/** Notices that the whole VM stood still. */
+/** Detects that the whole VM was suspended. */
 import {Disposable, MutableDisposable, type DisposableLike} from '../common/lifecycle/disposable.ts';
 import {Emitter} from '../common/lifecycle/emitter.ts';
 import {type Milliseconds} from '../common/model/units.ts';
 import {type Clock} from '../node/clock.ts';
 
-const checkEvery: Milliseconds = 250;
+const checkIntervalMilliseconds: Milliseconds = 250;
 
-/** Wall-clock steps below this are adjustments of the clock, no pause. */
-const shortestPause: Milliseconds = 1000;
+/** Shorter steps of the wall clock are treated as clock adjustments. */
+const minPauseMilliseconds: Milliseconds = 1000;
 
 /**
- * A VM that is suspended from outside wakes with a monotonic clock that did not move, so its leases look
- * valid although they lapsed. The wall clock did move: the difference of the two is the pause. (A
- * process that is merely stopped sees its monotonic clock jump, which needs no watch.)
+ * Compares the wall clock with the monotonic clock. While the hypervisor suspends a VM its monotonic clock stands still, so that
+ * expired leases still look valid, but the wall clock moves on: the difference is the length of the pause. A process that
+ * is only stopped needs no detection, since its monotonic clock moves on.
  */
-export class PauseWatch extends Disposable {
+export class PauseDetector extends Disposable {
 	private readonly _clock: Clock;
 	private readonly _wallClock: () => number;
 	private readonly _timer = this._register(new MutableDisposable<DisposableLike>());
 	private readonly _onWoke = this._register(new Emitter<Milliseconds>());
-	private _monotonic = 0;
-	private _wall = 0;
+	private _lastMonotonic = 0;
+	private _lastWall = 0;
 
-	/** The VM stood still for about this long. */
+	/** Fires with the approximate length of a pause in milliseconds. */
 	readonly onWoke = this._onWoke.event;
 
 	constructor(clock: Clock, wallClock: () => number) {
@@ -32,18 +32,18 @@
 	}
 
 	start(): void {
-		this._monotonic = this._clock.now();
-		this._wall = this._wallClock();
-		this._timer.value = this._clock.after(checkEvery, () => {
+		this._lastMonotonic = this._clock.now();
+		this._lastWall = this._wallClock();
+		this._timer.value = this._clock.after(checkIntervalMilliseconds, () => {
 			this.check();
 			this.start();
 		});
 	}
 
-	/** Compares the two clocks since the last check. */
+	/** Compares the progress of the two clocks since the last check. */
 	check(): void {
-		const gap = this._wallClock() - this._wall - (this._clock.now() - this._monotonic);
-		if (gap >= shortestPause) {
+		const gap = this._wallClock() - this._lastWall - (this._clock.now() - this._lastMonotonic);
+		if (gap >= minPauseMilliseconds) {
 			this._onWoke.fire(gap);
 		}
 	}
--- a/src/daemon/serve.test.ts
+++ b/src/daemon/serve.test.ts
@@ -9,14 +9,14 @@
 import {DisposableStore, toDisposable} from '../common/lifecycle/disposable.ts';
 import {freePorts} from '../stand-ins/free-ports.ts';
 
-describe('a daemon that gets a signal', () => {
+describe('a daemon that receives a signal', () => {
 	const owned = new DisposableStore();
 	after(() => {
 		owned.dispose();
 	});
 
-	/** Runs a daemon, sends it the signal when it has written a word, and tells how it ended; if badly, with all that it wrote. */
-	async function endOf(word: string, signal: NodeJS.Signals): Promise<unknown[]> {
+	/** Starts a daemon, sends the signal once its output contains the word, and resolves with exit code and signal; after a failure also with its output. */
+	async function runUntilSignal(word: string, signal: NodeJS.Signals): Promise<unknown[]> {
 		const folder = mkdtempSync(join(tmpdir(), 'jaydale-serve-'));
 		const [callPort, operatorPort, peerPort, platformPort] = await freePorts(4);
 		const plan = {
@@ -33,28 +33,28 @@
 		const ended = once(child, 'exit');
 		let text = '';
 		child.stdout.on('data', (chunk: Uint8Array) => {
-			const isTold = text.includes(word);
+			const hadWord = text.includes(word);
 			text += Buffer.from(chunk).toString();
-			if (!isTold && text.includes(word)) {
+			if (!hadWord && text.includes(word)) {
 				child.kill(signal);
 			}
 		});
 		child.stderr.on('data', (chunk: Uint8Array) => {
 			text += Buffer.from(chunk).toString();
 		});
-		const end: unknown[] = await ended;
-		// A neighbour's test has taken a port that was free a moment ago: this one has not been tried.
+		const exit: unknown[] = await ended;
+		// Another process has taken one of the free ports in the meantime, so the daemon never listened: start again.
 		if (text.includes('EADDRINUSE')) {
-			return endOf(word, signal);
+			return runUntilSignal(word, signal);
 		}
 
-		return end[0] === 0 ? end : [...end, text];
+		return exit[0] === 0 ? exit : [...exit, text];
 	}
 
-	// Guards calls against the loss of the terminal that a VM was started from.
+	// Guards calls against the loss of the terminal in which a VM was started (SIGHUP).
 	for (const signal of ['SIGHUP', 'SIGINT', 'SIGTERM'] as const) {
-		it(`stops as planned: ${signal}`, async () => {
-			expect(await endOf('listening', signal)).toEqual([0, null]);
+		it(`makes a planned stop on ${signal}`, async () => {
+			expect(await runUntilSignal('listening', signal)).toEqual([0, null]);
 		});
 	}
 });
--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -10,53 +10,53 @@
 
 const failedExitCode = 1;
 
-/** The ends of a process by hand, by a supervisor, and of the terminal that it was started in. */
+/** Sent by a supervisor, from the keyboard, and when the terminal closes in which the process was started. */
 const stopSignals = ['SIGTERM', 'SIGINT', 'SIGHUP'] as const;
 
 /**
- * Runs until SIGTERM, SIGINT or SIGHUP, the platform's list or an operator has begun the planned stop and it
- * is over; resolves with the exit code. A line with the ports goes to standard output when all listeners are open.
+ * Runs a daemon until its planned stop is over, and resolves with the exit code. The stop is started by SIGTERM, SIGINT or SIGHUP,
+ * by the platform's list of VMs, or by an operator. When all listeners are open, one line on standard output gives the ports.
  */
 export async function serve(settings: Settings, tokens: readonly OperatorToken[]): Promise<number> {
-	const order = new StopOrder();
-	const exitCode = await run(settings, tokens, order);
-	order.dispose();
+	const stopSignalListener = new StopSignalListener();
+	const exitCode = await run(settings, tokens, stopSignalListener);
+	stopSignalListener.dispose();
 	return exitCode;
 }
 
 /**
- * The order to stop, by a signal. Guards calls against one that comes while the listeners open: until somebody listens to a
- * signal the system ends the process at once, with all that its listeners have taken.
+ * Records stop signals from the start of the process. A signal without a handler ends the process at once, together with the
+ * calls that its listeners have accepted; this guards calls against a signal that arrives while the listeners are being opened.
  */
-class StopOrder extends Disposable {
-	private readonly _onOrder = this._register(new Emitter<void>());
-	private _hasCome = false;
+class StopSignalListener extends Disposable {
+	private readonly _onSignal = this._register(new Emitter<void>());
+	private _isReceived = false;
 
 	constructor() {
 		super();
-		const take = () => {
-			this._hasCome = true;
-			this._onOrder.fire();
+		const receive = () => {
+			this._isReceived = true;
+			this._onSignal.fire();
 		};
 
 		for (const signal of stopSignals) {
-			process.on(signal, take);
+			process.on(signal, receive);
 			this._register(toDisposable(() => {
-				process.off(signal, take);
+				process.off(signal, receive);
 			}));
 		}
 	}
 
-	/** Calls the listener at each order, and at once if one has come. */
-	listen(listener: () => void): void {
-		this._register(this._onOrder.event(listener));
-		if (this._hasCome) {
+	/** Calls the listener at each stop signal, and at once if one was already received. */
+	subscribe(listener: () => void): void {
+		this._register(this._onSignal.event(listener));
+		if (this._isReceived) {
 			listener();
 		}
 	}
 }
 
-async function run(settings: Settings, tokens: readonly OperatorToken[], order: StopOrder): Promise<number> {
+async function run(settings: Settings, tokens: readonly OperatorToken[], stopSignalListener: StopSignalListener): Promise<number> {
 	const logging = new Logging(settings.log, {vm: settings.vm.name});
 	const wired = wireDaemon(settings, tokens, logging, await loadHashes());
 	if (wired.isErr()) {
@@ -78,7 +78,7 @@
 			daemon.dispose();
 			resolve(0);
 		});
-		order.listen(() => {
+		stopSignalListener.subscribe(() => {
 			daemon.stop();
 		});
 	});
--- a/src/daemon/stop-report.test.ts
+++ b/src/daemon/stop-report.test.ts
@@ -9,20 +9,20 @@
 }
 
 describe('the report of a stop', () => {
-	it('counts from the order to stop on, and tells how long each stage took', function () {
+	it('counts from the start of the stop, and gives the duration of each stage', function () {
 		const report = new StopReport();
 		report.enter('serving', 0);
-		report.noteCall(ended('ran'));
-		report.noteCut();
+		report.recordCall(ended('ran'));
+		report.recordCutAnswer();
 		report.begin(5);
 		report.enter('leaving', 1000);
 		report.begin(2);
-		report.noteCall(ended('ran'));
-		report.noteCall(ended('unknown'));
-		report.noteCall(ended('not-run'));
+		report.recordCall(ended('ran'));
+		report.recordCall(ended('unknown'));
+		report.recordCall(ended('not-run'));
 		report.enter('draining', 5550);
-		report.noteRefusal();
-		report.noteCut();
+		report.recordRefusal();
+		report.recordCutAnswer();
 		report.enter('ended', 5850.4);
 		expect(report.summary()).toMatchSnapshot(this);
 	});
--- a/src/daemon/stop-report.ts
+++ b/src/daemon/stop-report.ts
@@ -1,23 +1,23 @@
-/** What a planned stop came to, gathered for the one line that ends it. */
+/** Counts the calls of a planned stop for the log line `stop over`. */
 import {type CallSummary} from '../common/calls/types.ts';
 import {type FleetStage} from '../common/fleet/types.ts';
 import {type Instant, type Milliseconds} from '../common/model/units.ts';
 
-/** The fields of the line. */
+/** Fields of the log line `stop over`. */
 export type StopSummary = {
-	/** Answers that callers did not have when the stop began. */
+	/** Answers not yet complete at their callers when the stop began. */
 	readonly callsAtBegin: number;
-	/** Calls that ended with a backend server's answer since then. */
+	/** Calls that ended since then and were not refused. */
 	readonly finished: number;
-	/** Calls that were told that they have not run, by the stop or for another reason. */
+	/** Calls answered as not run, because of the stop or for another reason. */
 	readonly refused: number;
-	/** Answers whose connection ended before the system had all of them. */
+	/** Answers whose connection was closed before the operating system had accepted all their bytes. */
 	readonly cut: number;
-	/** Time spent in each stage of the stop, such as `leaving 4550, draining 300`. */
+	/** Milliseconds spent in each stage of the stop, such as `leaving 4550, draining 300`. */
 	readonly stageMilliseconds: string;
 };
 
-/** Counts from the order to stop until the process ends; before that order nothing is counted. */
+/** Counts from the start of the stop until the process exits; earlier events are ignored. */
 export class StopReport {
 	private readonly _stages: Array<{readonly stage: FleetStage; readonly since: Instant}> = [];
 	private _isStopping = false;
@@ -26,7 +26,7 @@
 	private _refused = 0;
 	private _cut = 0;
 
-	/** The order to stop has come; a second one changes nothing. */
+	/** Starts counting. Later calls have no effect. */
 	begin(callsInFlight: number): void {
 		if (!this._isStopping) {
 			this._isStopping = true;
@@ -40,7 +40,7 @@
 		}
 	}
 
-	noteCall({outcome}: CallSummary): void {
+	recordCall({outcome}: CallSummary): void {
 		if (!this._isStopping) {
 			return;
 		}
@@ -52,12 +52,12 @@
 		}
 	}
 
-	/** A call was refused at the listener, without becoming a call of the engine. */
-	noteRefusal(): void {
+	/** Counts a call that the listener refused, and which therefore did not reach the engine. */
+	recordRefusal(): void {
 		this._refused += this._isStopping ? 1 : 0;
 	}
 
-	noteCut(): void {
+	recordCutAnswer(): void {
 		this._cut += this._isStopping ? 1 : 0;
 	}
 
@@ -67,11 +67,11 @@
 			finished: this._finished,
 			refused: this._refused,
 			cut: this._cut,
-			stageMilliseconds: this._stages.slice(0, -1).map(({stage}, index) => `${stage} ${this._length(index)}`).join(', '),
+			stageMilliseconds: this._stages.slice(0, -1).map(({stage}, index) => `${stage} ${this._stageDuration(index)}`).join(', '),
 		};
 	}
 
-	private _length(index: number): Milliseconds {
+	private _stageDuration(index: number): Milliseconds {
 		return Math.round(this._stages[index + 1]!.since - this._stages[index]!.since);
 	}
 }
--- a/src/daemon/wiring.ts
+++ b/src/daemon/wiring.ts
@@ -1,4 +1,4 @@
-/** The one place where the parts of a daemon are made. */
+/** Creates and connects the parts of a daemon of a self-coordinated fleet. */
 import {err, ok, type Result} from 'neverthrow';
 import {BurnCopies} from '../common/burn/burn-copies.ts';
 import {BurnLedger} from '../common/burn/burn-ledger.ts';
@@ -42,24 +42,24 @@
 import {Daemon} from './daemon.ts';
 import {FleetGateway} from './fleet-gateway.ts';
 import {newIdentity, type Hashes} from './identity.ts';
-import {PauseWatch} from './pause-watch.ts';
+import {PauseDetector} from './pause-watch.ts';
 
-/** Time for a new connection to a backend server: 1 ms is usual, a lost packet costs 1 s more. */
+/** A connection to a backend server usually opens within 1 ms; a lost packet adds 1 s. */
 const connectMilliseconds = 1500;
 
-/** Idle connections to backend servers close after this long: they count against the 250 shared by all VMs. */
-const backendIdleMilliseconds = 30_000;
+/** Idle connections to backend servers are closed, since they count towards the limit of 250 that all VMs share. */
+const backendIdleTimeoutMilliseconds = 30_000;
 
-/** A caller's whole head must be there after this long. */
+/** Time within which the whole head of a request must arrive. */
 const headMilliseconds = 10_000;
 
-/** A caller that takes no byte for this long is gone: TCP alone tells only after a quarter of an hour. */
+/** A caller that reads no byte for this long is assumed to be gone. TCP alone reports that only after a quarter of an hour. */
 const stallMilliseconds = 120_000;
 
-/** Idle connections of callers; longer than the usual gap between two calls of one caller. */
-const callerIdleMilliseconds = 60_000;
+/** Idle timeout of callers' connections; longer than the usual gap between two calls of one caller. */
+const callerIdleTimeoutMilliseconds = 60_000;
 
-/** Number of VMs that carry one service at least: two may fail, and the answers still spread. */
+/** Minimum number of VMs that serve one service. The load still spreads if two of them fail. */
 const minSubsetSize = 16;
 
 function joinAddress(address: string, port: number): string {
@@ -71,7 +71,7 @@
 	return {address: text.slice(0, colon).replaceAll(/[\[\]]/gv, ''), port: Number(text.slice(colon + 1))};
 }
 
-function toCallerAnswer(answer: FleetAnswer): AddressList | undefined {
+function toAddressList(answer: FleetAnswer): AddressList | undefined {
 	if (answer.addresses.length === 0) {
 		return undefined;
 	}
@@ -100,16 +100,16 @@
 	return tls === undefined ? ok(plainCredentials()) : checkTlsFiles(tls, settings.vm.address, now).map(() => watchTlsFiles(tls, settings.vm.address));
 }
 
-/** Makes a daemon from checked settings. Nothing listens yet. */
+/** Creates a daemon from validated settings. No listener is open yet. Fails if the TLS files of the peers' listener are unusable. */
 export function wireDaemon(settings: Settings, tokens: readonly OperatorToken[], logging: Logging, hashes: Hashes): Result<Daemon, Failure<string>> {
 	const credentials = peerCredentials(settings, new Date());
 	return credentials.isErr() ? err(credentials.error) : ok(makeDaemon(settings, tokens, {logging, hashes, credentials: credentials.value}));
 }
 
-type Made = {readonly logging: Logging; readonly hashes: Hashes; readonly credentials: PeerCredentials};
+type WiringInputs = {readonly logging: Logging; readonly hashes: Hashes; readonly credentials: PeerCredentials};
 
-/** What every part may need. */
-type Base = {
+/** Dependencies shared by all parts. */
+type SharedParts = {
 	readonly settings: Settings;
 	readonly owned: DisposableStore;
 	readonly clock: Clock;
@@ -120,7 +120,7 @@
 	readonly identity: string;
 };
 
-function makeBase(settings: Settings, {logging, hashes}: Made): Base {
+function makeSharedParts(settings: Settings, {logging, hashes}: WiringInputs): SharedParts {
 	const owned = new DisposableStore();
 	const {logger} = logging;
 	const metrics = settings.metrics.enabled
@@ -133,8 +133,8 @@
 	};
 }
 
-/** The deciders and the loop round them. */
-function makeDeciders({settings, owned, clock, hashes, identity}: Base) {
+/** Creates the deciders and the loop that runs them. */
+function makeDeciders({settings, owned, clock, hashes, identity}: SharedParts) {
 	const random = seededRandom(entropySeed());
 	const fleet = fleetSettings(settings, identity);
 	const calls = new WakeGuard(new DefaultCallEngine({random, settings: {dataCentre: settings.vm.dataCentre}}));
@@ -145,8 +145,8 @@
 
 type Deciders = ReturnType<typeof makeDeciders>;
 
-/** Connections to the platform's service and to other VMs. */
-function makeOutside({settings, owned, clock, logger, metrics}: Base, credentials: PeerCredentials) {
+/** Creates the clients of the platform's service and of the other VMs. */
+function makeClients({settings, owned, clock, logger, metrics}: SharedParts, credentials: PeerCredentials) {
 	const client = owned.add(new HttpPlatformClient(settings.platform.url, settings.platform.requestTimeoutMilliseconds));
 	const platform = new CountedPlatformClient(client, clock, metrics);
 	const peers = owned.add(new GrpcPeerTransport(joinAddress(settings.peers.address, settings.peers.port), credentials, () => clock.now()));
@@ -156,49 +156,49 @@
 	return {platform, peers};
 }
 
-type Outside = ReturnType<typeof makeOutside>;
+type Clients = ReturnType<typeof makeClients>;
 
-/** The path of a call: callers' listener, attempts, measuring, claims of keys. */
-function makeFront({settings, owned, clock, hashes, metrics, identity}: Base, {entryVm, loop}: Deciders, {platform}: Outside) {
-	const connections = owned.add(new BackendConnections({connectMilliseconds, idleMilliseconds: backendIdleMilliseconds}));
-	const measurer = new CountedMeasurer(new HttpLoadProbeClient(connections, new JaydaleDialect()), metrics);
+/** Creates the parts that a call passes: the callers' listener, attempts, load probes, and claims of idempotency keys. */
+function makeCallPath({settings, owned, clock, hashes, metrics, identity}: SharedParts, {entryVm, loop}: Deciders, {platform}: Clients) {
+	const connections = owned.add(new BackendConnections({connectMilliseconds, idleMilliseconds: backendIdleTimeoutMilliseconds}));
+	const loadProbeClient = new CountedMeasurer(new HttpLoadProbeClient(connections, new JaydaleDialect()), metrics);
 	const keyClaimer = new StoreKeyClaimer(platform, clock, identity, hashes.digest);
-	const callCarrier = owned.add(new CallEffectExecutor(loop, measurer, keyClaimer));
+	const callEffectExecutor = owned.add(new CallEffectExecutor(loop, loadProbeClient, keyClaimer));
 	const callerServer = owned.add(new CallerServer({
 		sink: loop,
-		calls: callCarrier,
+		calls: callEffectExecutor,
 		connections,
-		addresses: service => toCallerAnswer(entryVm.fleet.addresses(service, clock.now())),
+		addresses: service => toAddressList(entryVm.fleet.addresses(service, clock.now())),
 		fingerprint: hashes.fingerprint,
 	}, {
 		headBytes: settings.limits.headBytes,
 		headMilliseconds,
 		stallMilliseconds,
-		idleMilliseconds: callerIdleMilliseconds,
+		idleMilliseconds: callerIdleTimeoutMilliseconds,
 		bodyBytes: settings.limits.bodyBytes,
 		keptBodyBytes: settings.limits.replayBytes,
 		connections: settings.limits.connections,
 	}));
-	return {connections, callCarrier, callerServer};
+	return {connections, callEffectExecutor, callerServer};
 }
 
-/** Counts for the report on burn, and their exchange between VMs. */
-function makeBurn({settings, owned, clock, identity}: Base, {callAddress, entryVm}: Deciders, {peers}: Outside) {
+/** Creates the counters for the burn report and their exchange between VMs. */
+function makeBurn({settings, owned, clock, identity}: SharedParts, {callAddress, entryVm}: Deciders, {peers}: Clients) {
 	const ledger = new BurnLedger();
 	const copies = new BurnCopies();
 	const burnReporter = new BurnReporter({
 		identity, vmName: settings.vm.name, callAddress, clock, fleet: entryVm.fleet, calls: entryVm.calls, ledger, copies,
 	});
 	const burnExchange = owned.add(new BurnExchange({
-		transport: peers, clock, copies, own: () => burnReporter.own(), peers: () => burnReporter.peers(),
+		transport: peers, clock, copies, own: () => burnReporter.ownCounts(), peers: () => burnReporter.peerAddresses(),
 	}));
 	return {ledger, burnReporter, burnExchange};
 }
 
 type Burn = ReturnType<typeof makeBurn>;
 
-/** Every VM hears when an operator lifts a quarantine. */
-function makeQuarantine({owned}: Base, {loop}: Deciders, {peers}: Outside): QuarantineExchange {
+/** Creates the exchange that sends a lifted quarantine to all VMs, and feeds those received to the deciders. */
+function makeQuarantine({owned}: SharedParts, {loop}: Deciders, {peers}: Clients): QuarantineExchange {
 	const quarantine = owned.add(new QuarantineExchange(peers));
 	owned.add(quarantine.onLifted(fingerprint => {
 		loop.feed({type: 'quarantine-lifted', fingerprint});
@@ -206,11 +206,10 @@
 	return quarantine;
 }
 
-type GatewayNeeds = {readonly fleetCarrier: FleetCarrier; readonly burn: Burn; readonly quarantine: QuarantineExchange};
+type GatewayDependencies = {readonly fleetCarrier: FleetCarrier; readonly burn: Burn; readonly quarantine: QuarantineExchange};
 
-/** The operators' listener. */
-function makeOperatorServer(base: Base, tokens: readonly OperatorToken[], {entryVm}: Deciders, {fleetCarrier, burn, quarantine}: GatewayNeeds): OperatorServer {
-	const {settings, owned, clock, logging, logger, metrics} = base;
+function makeOperatorServer(sharedParts: SharedParts, tokens: readonly OperatorToken[], {entryVm}: Deciders, {fleetCarrier, burn, quarantine}: GatewayDependencies): OperatorServer {
+	const {settings, owned, clock, logging, logger, metrics} = sharedParts;
 	const gateway = new FleetGateway({
 		vmName: settings.vm.name,
 		dataCentre: settings.vm.dataCentre,
@@ -218,7 +217,7 @@
 		fleet: entryVm.fleet,
 		fleetCarrier,
 		calls: entryVm.calls,
-		liftEverywhere: async fingerprint => quarantine.lift(fingerprint, burn.burnReporter.peers()),
+		liftOnAllVms: async fingerprint => quarantine.lift(fingerprint, burn.burnReporter.peerAddresses()),
 		burn: async () => burn.burnReporter.report(burn.burnExchange),
 		logger,
 		logControl: logging,
@@ -230,24 +229,24 @@
 	return owned.add(new OperatorServer(api));
 }
 
-function makeDaemon(settings: Settings, tokens: readonly OperatorToken[], made: Made): Daemon {
-	const base = makeBase(settings, made);
-	const deciders = makeDeciders(base);
-	const outside = makeOutside(base, made.credentials);
-	const fleetCarrier = base.owned.add(new FleetCarrier(deciders.loop, base.clock, outside.platform, outside.peers));
-	const front = makeFront(base, deciders, outside);
-	const burn = makeBurn(base, deciders, outside);
-	const quarantine = makeQuarantine(base, deciders, outside);
-	const operatorServer = makeOperatorServer(base, tokens, deciders, {fleetCarrier, burn, quarantine});
-	const pauseWatch = base.owned.add(new PauseWatch(base.clock, () => Date.now()));
+function makeDaemon(settings: Settings, tokens: readonly OperatorToken[], inputs: WiringInputs): Daemon {
+	const sharedParts = makeSharedParts(settings, inputs);
+	const deciders = makeDeciders(sharedParts);
+	const clients = makeClients(sharedParts, inputs.credentials);
+	const fleetCarrier = sharedParts.owned.add(new FleetCarrier(deciders.loop, sharedParts.clock, clients.platform, clients.peers));
+	const callPath = makeCallPath(sharedParts, deciders, clients);
+	const burn = makeBurn(sharedParts, deciders, clients);
+	const quarantine = makeQuarantine(sharedParts, deciders, clients);
+	const operatorServer = makeOperatorServer(sharedParts, tokens, deciders, {fleetCarrier, burn, quarantine});
+	const pauseDetector = sharedParts.owned.add(new PauseDetector(sharedParts.clock, () => Date.now()));
 	deciders.loop.setCarrier(effect => {
 		if (isCallEffect(effect)) {
-			front.callCarrier.execute(effect);
+			callPath.callEffectExecutor.execute(effect);
 		} else {
 			fleetCarrier.carryOut(effect);
 		}
 	});
 	return new Daemon({
-		...base, ...deciders, ...front, ...burn, fleetCarrier, operatorServer, peers: outside.peers, pauseWatch,
-	}, base.owned);
+		...sharedParts, ...deciders, ...callPath, ...burn, fleetCarrier, operatorServer, peers: clients.peers, pauseDetector,
+	}, sharedParts.owned);
 }
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,45 +1,45 @@
 /**
- * The library: everything that a program or a test bench needs to run entry VMs of its own. The daemon
- * (src/daemon) is built from exactly these parts. Names not exported here may change at any time.
+ * Public interface of the library: the parts from which a program or a test bench runs its own entry VMs, and from which the
+ * daemon (src/daemon) is built. Names not exported here may change at any time.
  *
- * Failures are values (`Failure` inside neverthrow's `Result`); nothing here throws on bad input. Times are
- * monotonic milliseconds, spans are milliseconds, sizes are bytes. The terms are those of docs/glossary.md.
+ * Failures are returned as values (`Failure` in neverthrow's `Result`); invalid input throws no exception. Instants are
+ * monotonic milliseconds, durations are milliseconds, sizes are bytes. docs/glossary.md defines the terms.
  */
 
-/** A whole entry VM as one deterministic object: the place to begin for a bench or simulator. */
+/** A whole entry VM as one deterministic state machine: the entry point for a test bench or simulator. */
 export {EntryVm, isCallEffect} from './common/entry-vm/entry-vm.ts';
 export type {Decider, EntryVmEffect, EntryVmEvent} from './common/entry-vm/types.ts';
 
-/** The decider of calls, and its guard for VMs that were paused. */
+/** The call engine, and its wrapper for VMs that may be suspended. */
 export {DefaultCallEngine, type CallEngineOptions} from './common/calls/call-engine.ts';
 export {WakeGuard} from './common/calls/wake-guard.ts';
 export type {
 	CallConfiguration, CallEffect, CallEngine, CallEngineStatus, CallEvent, CallOutcome, CallRequest, CallSummary, FleetShares, LoadUpdate, LoadReport, RefusalReason,
 } from './common/calls/types.ts';
 
-/** The decider of everything that VMs do together. */
+/** The fleet engine, which coordinates the VMs of a self-coordinated fleet. */
 export {FleetCoordinator} from './common/fleet/fleet-coordinator.ts';
 export type {
 	AddressAnswer, FleetEffect, FleetEngine, FleetEvent, FleetSettings, FleetStage, FleetStatus, OperatorAnswer, OperatorChange,
 } from './common/fleet/types.ts';
 
-/** What operators declare. */
+/** Resources that operators declare. */
 export {
 	backendServerSchema, resourceSchema, serviceSchema, sharingRuleSchema, type BackendServer, type Resource, type Service, type SharingRule,
 } from './common/model/resources.ts';
 
-/** The platform's service as data; another client than the HTTP one only has to carry these out. */
+/** Operations and replies of the platform's store. A client other than the HTTP client must implement these. */
 export type {
 	ListedVm, StoreEntry, StoreOperation, StoreReply,
 } from './common/platform/types.ts';
 export type {PeerTransport, PlatformClient} from './node/fleet/types.ts';
 
-/** Settings of a daemon and the daemon itself. */
+/** Settings of a daemon, and the function that runs it. */
 export {settingsSchema, type Settings} from './common/settings/settings.ts';
 export {loadSettings, loadTokens} from './node/settings/load-settings.ts';
 export {serve} from './daemon/serve.ts';
 
-/** Failures, random numbers and ownership, as the parts above use them. */
+/** Failures, random numbers and disposables used by the parts above. */
 export {describeFailure, failure, type Failure} from './common/errors/failure.ts';
 export {seededRandom} from './common/random/random.ts';
 export {
