--- a/src/daemon/serve.ts
+++ b/src/daemon/serve.ts
@@ -25,7 +25,7 @@
 }
 
 /**
- * Records stop signals from the start of the process. A signal without a handler ends the process at once, together with the
+ * Records stop signals from its construction on. A signal without a handler ends the process at once, together with the
  * calls that its listeners have accepted; this guards calls against a signal that arrives while the listeners are being opened.
  */
 class StopSignalListener extends Disposable {
