--- a/benchmark/demand/demand-run.ts
+++ b/benchmark/demand/demand-run.ts
@@ -1,4 +1,4 @@
-/** One run of the engine on many VMs against backend servers with neighbours, in virtual time, with callers that return once. */
+/** Simulates the call engines of many VMs in virtual time: neighbours slow the backend servers down, and callers retry at most once. */
 import {DefaultCallEngine} from '../../src/common/calls/call-engine.ts';
 import {type CallTuning} from '../../src/common/calls/tuning.ts';
 import {type BackendServer, backendServerSchema, serviceSchema} from '../../src/common/model/resources.ts';
@@ -9,44 +9,44 @@
 import {type CallRecord, type PlannedCall} from '../policy/types.ts';
 import {type DemandKind, type DemandScenario} from './scenarios.ts';
 
-/** Ways in one direction, in milliseconds. */
-const near: Milliseconds = 0.1;
-const far: Milliseconds = 1.4;
-const toCaller: Milliseconds = 3;
+/** One-way latencies: within a data centre, between data centres, and between a caller and a VM. */
+const localLatencyMilliseconds: Milliseconds = 0.1;
+const remoteLatencyMilliseconds: Milliseconds = 1.4;
+const callerLatencyMilliseconds: Milliseconds = 3;
 
-const slots = 6;
+const slotsPerServer = 6;
 
-/** Engines start with no knowledge: what comes earlier is not counted. */
-const warmUp: Milliseconds = 1500;
+/** Calls sent before this instant are not counted, since the engines start without load data. */
+const warmUpMilliseconds: Milliseconds = 1500;
 
-/** Part of the time that is left within which a caller comes back at the latest. */
-const longestReturnPart = 1 / 3;
+/** Maximum delay of a caller's retry, as a fraction of the time left until the call's timeout. */
+const maxRetryDelayFraction = 1 / 3;
 
-/** Calls are judged by windows of this length; the worst tenth is told apart. */
-const window: Milliseconds = 1000;
+/** Length of the windows of which the worst tenth is scored separately. */
+const windowMilliseconds: Milliseconds = 1000;
 
-/** How users weigh the whole run, its worst windows, and that a call is answered at all. */
-const wholeWeight = 0.4;
-const windowsWeight = 0.4;
+/** Weights in the users' score: value earned over the whole run, value earned in its worst windows, and fraction of calls answered at all. */
+const earnedWeight = 0.4;
+const worstWindowsWeight = 0.4;
 const servedWeight = 0.2;
 
-/** Natural logarithm's spread of work. */
-const workSpread = 0.3;
+/** Sigma of the log-normal work of a kind of call. */
+const workSigma = 0.3;
 
-/** What one caller's call came to. */
-type Story = {
+/** State and outcome of one caller's call, including its retry. */
+type CallerRequest = {
 	readonly kind: DemandKind;
 	readonly vm: number;
 	readonly work: Milliseconds;
-	readonly firstAt: Instant;
-	returns: number;
+	readonly sentAt: Instant;
+	retries: number;
 	refusals: number;
 	answeredAt: Instant | undefined;
 };
 
-/** Figures of a run: parts of one, but for the last three. */
+/** Figures of a run: fractions from 0 to 1, except the last three (two counts per call, and p99 in milliseconds). */
 export type DemandFigures = {
-	/** What users weigh: the whole, the worst seconds, and whether an answer came at all. */
+	/** Users' score: weighted sum of `earned`, `worstWindows` and `served`. */
 	readonly worth: number;
 	readonly earned: number;
 	readonly worstWindows: number;
@@ -59,25 +59,25 @@
 	readonly p99: number;
 };
 
-type Placed = {readonly server: ModelServer; readonly declared: BackendServer; readonly dataCentre: string};
+type PlacedServer = {readonly server: ModelServer; readonly declared: BackendServer; readonly dataCentre: string};
 
 export class DemandRun {
 	private readonly _scenario: DemandScenario;
 	private readonly _seed: number;
-	/** Where callers go when they come back. */
-	private readonly _returns: RandomSource;
+	/** Chooses the VM that receives a retry. */
+	private readonly _retryRandom: RandomSource;
 	private readonly _time = new VirtualTime();
-	private readonly _servers = new Map<string, Placed>();
+	private readonly _servers = new Map<string, PlacedServer>();
 	private readonly _vms: ModelVm[] = [];
-	private readonly _stories: Story[] = [];
-	private _measurings = 0;
-	private _arrivals = 0;
+	private readonly _requests: CallerRequest[] = [];
+	private _loadProbes = 0;
+	private _attempts = 0;
 	private _lastCallId = 0;
 
 	constructor(scenario: DemandScenario, tuning: Partial<CallTuning>, seed: number) {
 		this._scenario = scenario;
 		this._seed = seed;
-		this._returns = seededRandom(seed + 7);
+		this._retryRandom = seededRandom(seed + 7);
 		this._addServers();
 		for (let index = 0; index < scenario.vms; index++) {
 			this._vms.push(this._makeVm(index, tuning, seed));
@@ -98,22 +98,25 @@
 			for (let index = 0; index < service.servers; index++) {
 				const name = `${service.name}-${index}`;
 				const dataCentre = `hall-${index % this._scenario.dataCentres}`;
-				const server = new ModelServer(this._time, name, slots, 0, this._scenario.behaviour);
+				const server = new ModelServer(this._time, name, slotsPerServer, 0, this._scenario.behaviour);
 				this._servers.set(name, {
 					server, dataCentre, declared: backendServerSchema.parse({
-						kind: 'backend-server', name, service: service.name, address: '127.0.0.1', port: 10_000 + this._servers.size, dataCentre, slots, connectionLimit: 240,
+						kind: 'backend-server', name, service: service.name, address: '127.0.0.1', port: 10_000 + this._servers.size, dataCentre, slots: slotsPerServer, connectionLimit: 240,
 					}),
 				});
-				this._disturb(server, seededRandom((this._seed * 10_000) + this._servers.size));
+				this._scheduleNeighbours(server, seededRandom((this._seed * 10_000) + this._servers.size));
 			}
 		}
 	}
 
-	/** The same neighbours for every policy under one seed. They come and go; how long they stay away follows from their share. */
-	private _disturb(server: ModelServer, random: RandomSource): void {
-		const {share, factor, milliseconds} = this._scenario.neighbours;
+	/**
+	 * Schedules neighbours that alternately slow the backend server down and pause. The schedule depends only on the seed; the mean
+	 * pause follows from the neighbours' share of the time.
+	 */
+	private _scheduleNeighbours(server: ModelServer, random: RandomSource): void {
+		const {share, slowdown, milliseconds} = this._scenario.neighbours;
 		const change = (isSlow: boolean): void => {
-			server.setSpeed(isSlow ? 1 / factor : 1);
+			server.setSpeed(isSlow ? 1 / slowdown : 1);
 			const mean = isSlow ? milliseconds : milliseconds * (1 - share) / share;
 			this._time.at(this._time.now - (Math.log(1 - random.next()) * mean), () => {
 				if (this._time.now < this._scenario.milliseconds * 2) {
@@ -132,24 +135,24 @@
 		}), {
 			time: this._time,
 			serverOf: identity => this._servers.get(identity)!.server,
-			latencyTo: identity => this._servers.get(identity)!.dataCentre === dataCentre ? near : far,
+			latencyTo: identity => this._servers.get(identity)!.dataCentre === dataCentre ? localLatencyMilliseconds : remoteLatencyMilliseconds,
 			hasReportsOnAnswers: true,
-			onMeasure: () => {
-				this._measurings++;
+			onLoadProbe: () => {
+				this._loadProbes++;
 			},
-			onUpdate() {
-				// The platform's VMs tell one another nothing of loads.
+			onLoadUpdate() {
+				// VMs on the platform exchange no load updates.
 			},
-			onWaste() {
-				// Attempts are counted instead.
+			onWastedWork() {
+				// The number of attempts is counted instead.
 			},
 		});
-		vm.feed({
+		vm.handle({
 			type: 'shares', shares: {
 				loadProbeFraction: 0, loadProbesFrom: 0, loadProbesUntil: 0, connectionFraction: Math.min(1, 2 / this._scenario.vms), vmCount: this._scenario.vms,
 			},
 		});
-		vm.feed({
+		vm.handle({
 			type: 'configured', configuration: {
 				version: 1,
 				services: new Map(this._scenario.services.map(({name}) => [name, serviceSchema.parse({
@@ -165,110 +168,110 @@
 	}
 
 	private _planArrivals(kind: DemandKind, random: RandomSource): void {
-		const most = 3;
-		const rate = kind.perSecond * most / 1000;
+		const maxFactor = 3;
+		const rate = kind.callsPerSecond * maxFactor / 1000;
 		for (let at = 0; at < this._scenario.milliseconds; at -= Math.log(1 - random.next()) / rate) {
-			if (random.next() * most < this._scenario.factorAt(at)) {
-				const spread = Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
-				const story: Story = {
+			if (random.next() * maxFactor < this._scenario.loadFactorAt(at)) {
+				const normal = Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
+				const request: CallerRequest = {
 					kind,
 					vm: Math.floor(random.next() * this._vms.length),
-					work: kind.work * Math.exp((workSpread * spread) - (workSpread * workSpread / 2)),
-					firstAt: at,
-					returns: 0,
+					work: kind.work * Math.exp((workSigma * normal) - (workSigma * workSigma / 2)),
+					sentAt: at,
+					retries: 0,
 					refusals: 0,
 					answeredAt: undefined,
 				};
-				this._stories.push(story);
-				this._time.at(at + toCaller, () => {
-					this._send(story, story.vm);
+				this._requests.push(request);
+				this._time.at(at + callerLatencyMilliseconds, () => {
+					this._send(request, request.vm);
 				});
 			}
 		}
 	}
 
-	private _send(story: Story, vm: number): void {
-		const {kind} = story;
+	private _send(request: CallerRequest, vm: number): void {
+		const {kind} = request;
 		const planned: PlannedCall = {
-			at: this._time.now, service: kind.service, caller: 'all', vm, method: kind.method, path: kind.path, work: story.work,
-			timeout: kind.timeout - (this._time.now - story.firstAt), rule: kind.rule,
+			at: this._time.now, service: kind.service, caller: 'all', vm, method: kind.method, path: kind.path, work: request.work,
+			timeout: kind.timeout - (this._time.now - request.sentAt), rule: kind.rule,
 		};
 		const record: CallRecord = {
 			planned, endedAt: undefined, isGood: false, isRefused: false, starts: 0,
 		};
 		this._lastCallId++;
-		this._vms[vm]!.arrive(this._lastCallId, record, ended => {
-			this._arrivals += ended.starts;
-			this._take(story, ended);
+		this._vms[vm]!.startCall(this._lastCallId, record, ended => {
+			this._attempts += ended.starts;
+			this._handleOutcome(request, ended);
 		});
 	}
 
-	/** Callers come back once, after the time they were told, or after any failure of a call that may be repeated. */
-	private _take(story: Story, record: CallRecord): void {
+	/** A caller retries once: after the time in `retry-after` of a refusal, or at once after any other failure of an idempotent call. */
+	private _handleOutcome(request: CallerRequest, record: CallRecord): void {
 		const {now} = this._time;
 		if (record.isGood) {
-			story.answeredAt = now + toCaller;
+			request.answeredAt = now + callerLatencyMilliseconds;
 			return;
 		}
 
-		const left = story.firstAt + story.kind.timeout - now;
-		const isPromise = record.retryAfter !== undefined;
-		story.refusals += isPromise ? 1 : 0;
-		if (story.returns === 0 && left > 0 && (isPromise || story.kind.rule.isIdempotent)) {
-			story.returns++;
-			this._time.at(now + (2 * toCaller) + Math.min(record.retryAfter ?? 0, left * longestReturnPart), () => {
-				this._send(story, Math.floor(this._returns.next() * this._vms.length));
+		const remainingMilliseconds = request.sentAt + request.kind.timeout - now;
+		const hasRetryAfter = record.retryAfterMilliseconds !== undefined;
+		request.refusals += hasRetryAfter ? 1 : 0;
+		if (request.retries === 0 && remainingMilliseconds > 0 && (hasRetryAfter || request.kind.rule.isIdempotent)) {
+			request.retries++;
+			this._time.at(now + (2 * callerLatencyMilliseconds) + Math.min(record.retryAfterMilliseconds ?? 0, remainingMilliseconds * maxRetryDelayFraction), () => {
+				this._send(request, Math.floor(this._retryRandom.next() * this._vms.length));
 			});
 		}
 	}
 
 	private _figures(): DemandFigures {
-		const stories = this._stories.filter(story => story.firstAt >= warmUp);
-		const part = (test: (story: Story) => boolean) => stories.filter(test).length / stories.length;
-		const times = stories.filter(story => story.answeredAt !== undefined).map(story => story.answeredAt! - story.firstAt).toSorted((a, b) => a - b);
-		const earned = earnedPart(stories);
-		const worstWindows = this._worst(stories);
-		const served = part(story => story.answeredAt !== undefined);
+		const requests = this._requests.filter(request => request.sentAt >= warmUpMilliseconds);
+		const fractionOf = (predicate: (request: CallerRequest) => boolean) => requests.filter(predicate).length / requests.length;
+		const latencies = requests.filter(request => request.answeredAt !== undefined).map(request => request.answeredAt! - request.sentAt).toSorted((a, b) => a - b);
+		const earned = earnedFraction(requests);
+		const worstWindows = this._worstWindows(requests);
+		const served = fractionOf(request => request.answeredAt !== undefined);
 		return {
-			worth: (wholeWeight * earned) + (windowsWeight * worstWindows) + (servedWeight * served),
+			worth: (earnedWeight * earned) + (worstWindowsWeight * worstWindows) + (servedWeight * served),
 			earned,
 			worstWindows,
 			served,
-			late: part(story => story.answeredAt !== undefined && !isInTime(story)),
-			refused: part(story => story.answeredAt === undefined && story.refusals > 0),
-			refusedAgain: part(story => story.answeredAt === undefined && story.refusals > 0 && story.returns > 0),
-			attemptsACall: this._arrivals / this._stories.length,
-			measuringsACall: this._measurings / this._stories.length,
-			p99: times[Math.floor(times.length * 0.99)] ?? Infinity,
+			late: fractionOf(request => request.answeredAt !== undefined && !isInTime(request)),
+			refused: fractionOf(request => request.answeredAt === undefined && request.refusals > 0),
+			refusedAgain: fractionOf(request => request.answeredAt === undefined && request.refusals > 0 && request.retries > 0),
+			attemptsACall: this._attempts / this._requests.length,
+			measuringsACall: this._loadProbes / this._requests.length,
+			p99: latencies[Math.floor(latencies.length * 0.99)] ?? Infinity,
 		};
 	}
 
-	private _worst(stories: readonly Story[]): number {
-		const windows = new Map<number, Story[]>();
-		for (const story of stories) {
-			const index = Math.floor(story.firstAt / window);
-			windows.set(index, [...windows.get(index) ?? [], story]);
+	private _worstWindows(requests: readonly CallerRequest[]): number {
+		const windows = new Map<number, CallerRequest[]>();
+		for (const request of requests) {
+			const index = Math.floor(request.sentAt / windowMilliseconds);
+			windows.set(index, [...windows.get(index) ?? [], request]);
 		}
 
-		const parts = Array.from(windows.values(), ofWindow => earnedPart(ofWindow)).toSorted((a, b) => a - b);
-		const worst = parts.slice(0, Math.max(1, Math.round(parts.length / 10)));
+		const windowFractions = Array.from(windows.values(), ofWindow => earnedFraction(ofWindow)).toSorted((a, b) => a - b);
+		const worst = windowFractions.slice(0, Math.max(1, Math.round(windowFractions.length / 10)));
 		return worst.reduce((sum, one) => sum + one, 0) / worst.length;
 	}
 }
 
-function isInTime(story: Story): boolean {
-	return story.answeredAt !== undefined && story.answeredAt - story.firstAt <= story.kind.rule.objectiveMilliseconds;
+function isInTime(request: CallerRequest): boolean {
+	return request.answeredAt !== undefined && request.answeredAt - request.sentAt <= request.kind.rule.objectiveMilliseconds;
 }
 
-function earnedPart(stories: readonly Story[]): number {
+function earnedFraction(requests: readonly CallerRequest[]): number {
 	let earned = 0;
-	let owed = 0;
-	for (const story of stories) {
-		owed += story.kind.worth;
-		if (story.answeredAt !== undefined) {
-			earned += isInTime(story) ? story.kind.worth : story.kind.lateWorth;
+	let attainable = 0;
+	for (const request of requests) {
+		attainable += request.kind.value;
+		if (request.answeredAt !== undefined) {
+			earned += isInTime(request) ? request.kind.value : request.kind.lateValue;
 		}
 	}
 
-	return earned / owed;
+	return earned / attainable;
 }
--- a/benchmark/demand/main.ts
+++ b/benchmark/demand/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- demand [--only SCENARIO] [--seeds N] [--set NAME=VALUE …]`: measuring on demand under the customers' loads. */
+/** `npm run bench -- demand [--only SCENARIO] [--seeds N] [--set NAME=VALUE …]`: on-demand load probes under loads like the customers'. */
 import process from 'node:process';
 import {parseArgs} from 'node:util';
 import {type CallTuning} from '../../src/common/calls/tuning.ts';
@@ -13,8 +13,8 @@
 	},
 });
 
-/** Numbers of the tuning given as NAME=VALUE. */
-function tuningOf(settings: readonly string[]): Partial<CallTuning> {
+/** Parses tuning values given as NAME=VALUE; all values are numbers. */
+function parseTuning(settings: readonly string[]): Partial<CallTuning> {
 	return Object.fromEntries(settings.map(setting => {
 		const [name, value] = setting.split('=', 2);
 		return [name!, Number(value)];
@@ -28,7 +28,7 @@
 		continue;
 	}
 
-	const runs = Array.from({length: Number(values.seeds)}, (_, index) => new DemandRun(scenario, tuningOf(values.set), index + 1).run());
+	const runs = Array.from({length: Number(values.seeds)}, (_, index) => new DemandRun(scenario, parseTuning(values.set), index + 1).run());
 	const means = columns.map(column => runs.reduce((sum, run) => sum + run[column], 0) / runs.length);
 	process.stdout.write(`${scenario.name.padEnd(12)}${means.map(mean => mean.toFixed(3).padStart(15)).join('')}\n`);
 }
--- a/benchmark/demand/scenarios.ts
+++ b/benchmark/demand/scenarios.ts
@@ -1,21 +1,21 @@
-/** Loads of the two customers' kind: neighbours that make work several times as long for half a second, and little room. */
+/** Load scenarios modelled on the two customers: neighbours slow work down several times for half a second, and queues are short. */
 import {type CallRule} from '../../src/common/calls/types.ts';
 import {type Instant, type Milliseconds} from '../../src/common/model/units.ts';
 import {type ServerBehaviour} from '../policy/model-server.ts';
 
-/** One kind of call and the service that it goes to. */
+/** A kind of call to a service. */
 export type DemandKind = {
 	readonly service: string;
 	readonly path: string;
 	readonly method: string;
-	readonly perSecond: number;
-	/** Mean work in a quiet slot. */
+	readonly callsPerSecond: number;
+	/** Mean time in a slot while no neighbour is active. */
 	readonly work: Milliseconds;
 	readonly timeout: Milliseconds;
 	readonly rule: CallRule;
-	/** What an answer within the objective is worth, and a later one. */
-	readonly worth: number;
-	readonly lateWorth: number;
+	/** Value of an answer within the objective, and of a later one. */
+	readonly value: number;
+	readonly lateValue: number;
 };
 
 export type DemandScenario = {
@@ -25,10 +25,10 @@
 	readonly services: ReadonlyArray<{readonly name: string; readonly servers: number}>;
 	readonly kinds: readonly DemandKind[];
 	readonly behaviour: ServerBehaviour;
-	/** Neighbours: part of the time for which work takes `factor` times as long, in pieces of `milliseconds`. */
-	readonly neighbours: {readonly share: number; readonly factor: number; readonly milliseconds: Milliseconds};
-	/** Load at an instant as a factor. */
-	readonly factorAt: (instant: Instant) => number;
+	/** Neighbours: during a fraction `share` of the time, in phases of `milliseconds` on average, work takes `slowdown` times as long. */
+	readonly neighbours: {readonly share: number; readonly slowdown: number; readonly milliseconds: Milliseconds};
+	/** Factor on `callsPerSecond` at an instant; at most 3. */
+	readonly loadFactorAt: (instant: Instant) => number;
 	readonly milliseconds: Milliseconds;
 };
 
@@ -39,28 +39,28 @@
 	route: 'orders', isIdempotent: false, timeoutMilliseconds: 800, objectiveMilliseconds: 400, maxAttempts: 2, priority: 1,
 };
 
-function kinds(reads: number, scale: number): DemandKind[] {
+function makeKinds(reads: number, scale: number): DemandKind[] {
 	return [{
-		service: 'schedule', path: '/schedule/days', method: 'GET', perSecond: reads, work: 100 * scale, timeout: 1200 * scale, worth: 1, lateWorth: 0.1,
+		service: 'schedule', path: '/schedule/days', method: 'GET', callsPerSecond: reads, work: 100 * scale, timeout: 1200 * scale, value: 1, lateValue: 0.1,
 		rule: {...read, timeoutMilliseconds: read.timeoutMilliseconds * scale, objectiveMilliseconds: read.objectiveMilliseconds * scale},
 	}, {
-		service: 'payments', path: '/payments', method: 'POST', perSecond: reads * 0.4, work: 130 * scale, timeout: 1500 * scale, worth: 2, lateWorth: 0.2,
+		service: 'payments', path: '/payments', method: 'POST', callsPerSecond: reads * 0.4, work: 130 * scale, timeout: 1500 * scale, value: 2, lateValue: 0.2,
 		rule: {...payment, timeoutMilliseconds: payment.timeoutMilliseconds * scale, objectiveMilliseconds: payment.objectiveMilliseconds * scale},
 	}];
 }
 
-/** Sixteen VMs, 18 and 10 backend servers of 6 slots that fall silent when they are over-full. */
+/** 16 VMs, and 18 and 10 backend servers of 6 slots that leave calls beyond their queue limit unanswered. */
 const small: DemandScenario = {
 	name: 'calm',
 	vms: 16,
 	dataCentres: 3,
 	services: [{name: 'schedule', servers: 18}, {name: 'payments', servers: 10}],
-	kinds: kinds(200, 1),
+	kinds: makeKinds(200, 1),
 	behaviour: {
-		queueLimit: 12, isSilentWhenFull: true, kneeAt: 0.8, kneeFactor: 1.7, tellsWorkTime: true,
+		queueLimit: 12, isSilentWhenFull: true, kneeSlotFraction: 0.8, kneeSlowdown: 1.7, reportsWorkTime: true,
 	},
-	neighbours: {share: 0.35, factor: 7, milliseconds: 500},
-	factorAt: () => 1,
+	neighbours: {share: 0.35, slowdown: 7, milliseconds: 500},
+	loadFactorAt: () => 1,
 	milliseconds: 12_000,
 };
 
@@ -70,38 +70,38 @@
 	vms: 126,
 	dataCentres: 4,
 	services: [{name: 'schedule', servers: 177}, {name: 'payments', servers: 93}],
-	kinds: kinds(420, 4),
-	neighbours: {share: 0.42, factor: 7, milliseconds: 500},
+	kinds: makeKinds(420, 4),
+	neighbours: {share: 0.42, slowdown: 7, milliseconds: 500},
 };
 
-/** Backend servers that shed what they cannot queue and are no slower when full, with fewer neighbours. */
+/** Backend servers that shed calls beyond their queue limit and are not slower when full; fewer neighbours. */
 const roomy: DemandScenario = {
 	...small,
 	name: 'roomy-calm',
 	services: [{name: 'schedule', servers: 19}, {name: 'payments', servers: 9}],
-	kinds: kinds(150, 1.6),
+	kinds: makeKinds(150, 1.6),
 	behaviour: {
-		queueLimit: 24, isSilentWhenFull: false, kneeAt: 1, kneeFactor: 1, tellsWorkTime: true,
+		queueLimit: 24, isSilentWhenFull: false, kneeSlotFraction: 1, kneeSlowdown: 1, reportsWorkTime: true,
 	},
-	neighbours: {share: 0.25, factor: 7, milliseconds: 500},
+	neighbours: {share: 0.25, slowdown: 7, milliseconds: 500},
 };
 
-/** Each load at which decisions differ; 340 calls a second fill the quiet slots to their knee. */
+/** Loads at which different decisions matter. At 340 reads per second the slots are used up to the knee while no neighbour is active. */
 export const demandScenarios: readonly DemandScenario[] = [
 	small,
-	{...small, name: 'full', kinds: kinds(340, 1)},
+	{...small, name: 'full', kinds: makeKinds(340, 1)},
 	{
-		...small, name: 'burst', kinds: kinds(300, 1), factorAt: instant => instant > 4000 && instant < 8000 ? 2.2 : 1,
+		...small, name: 'burst', kinds: makeKinds(300, 1), loadFactorAt: instant => instant > 4000 && instant < 8000 ? 2.2 : 1,
 	},
-	{...small, name: 'over', kinds: kinds(600, 1)},
+	{...small, name: 'over', kinds: makeKinds(600, 1)},
 	roomy,
-	{...roomy, name: 'roomy-full', kinds: kinds(260, 1.6)},
+	{...roomy, name: 'roomy-full', kinds: makeKinds(260, 1.6)},
 	{
-		...roomy, name: 'roomy-burst', kinds: kinds(200, 1.6), factorAt: instant => instant > 4000 && instant < 8000 ? 2 : 1,
+		...roomy, name: 'roomy-burst', kinds: makeKinds(200, 1.6), loadFactorAt: instant => instant > 4000 && instant < 8000 ? 2 : 1,
 	},
 	large,
-	{...large, name: 'large-full', kinds: kinds(800, 4)},
+	{...large, name: 'large-full', kinds: makeKinds(800, 4)},
 	{
-		...large, name: 'large-over', kinds: kinds(1400, 4), milliseconds: 8000,
+		...large, name: 'large-over', kinds: makeKinds(1400, 4), milliseconds: 8000,
 	},
 ];
--- a/benchmark/main.ts
+++ b/benchmark/main.ts
@@ -6,24 +6,24 @@
 
 const usageExitCode = 2;
 
-/** Benchmarks that stand elsewhere: what speaks the platform's words stays in its folder. */
+/** Benchmarks in other folders: platform-specific code stays in `platform`. */
 const otherFolders: Readonly<Record<string, string>> = {stops: join(import.meta.dirname, '../platform')};
 
-function fileOf(name: string): string {
+function mainFileOf(name: string): string {
 	return join(otherFolders[name] ?? import.meta.dirname, name, 'main.ts');
 }
 
-function names(): string[] {
-	return [...readdirSync(import.meta.dirname), ...Object.keys(otherFolders)].filter(name => existsSync(fileOf(name))).toSorted();
+function benchmarkNames(): string[] {
+	return [...readdirSync(import.meta.dirname), ...Object.keys(otherFolders)].filter(name => existsSync(mainFileOf(name))).toSorted();
 }
 
 function main(name: string | undefined, parameters: readonly string[]): number {
-	if (name === undefined || !names().includes(name)) {
-		console.error(`usage: npm run bench -- ${names().join('|')} [--help]`);
+	if (name === undefined || !benchmarkNames().includes(name)) {
+		console.error(`usage: npm run bench -- ${benchmarkNames().join('|')} [--help]`);
 		return usageExitCode;
 	}
 
-	const result = spawnSync(process.execPath, ['--import=tsx', fileOf(name), ...parameters], {stdio: 'inherit'});
+	const result = spawnSync(process.execPath, ['--import=tsx', mainFileOf(name), ...parameters], {stdio: 'inherit'});
 	return result.status ?? 1;
 }
 
--- a/benchmark/policy/baseline-engine.ts
+++ b/benchmark/policy/baseline-engine.ts
@@ -1,4 +1,4 @@
-/** Baselines: engines that only place, each by one plain rule. */
+/** Baseline engines: each places calls by one simple rule and does nothing else. */
 import {type BackendServer} from '../../src/common/model/resources.ts';
 import {type Instant, type RandomSource} from '../../src/common/model/units.ts';
 import {
@@ -7,33 +7,33 @@
 } from '../../src/common/calls/types.ts';
 import {TimerQueue} from '../../src/common/calls/timer-queue.ts';
 
-/** What a baseline knows of a backend server. */
+/** State of a backend server at a baseline engine. */
 export type BaselineServer = {
 	readonly identity: string;
 	readonly declared: BackendServer;
 	inFlight: number;
-	/** Calls reported by the latest measurement of any VM, and own calls started since. */
-	measured: number;
-	startedSince: number;
+	/** Calls in the latest load report that any VM received, and own calls started since that report. */
+	reportedLoad: number;
+	startsSinceReport: number;
 };
 
-/** Chooses a backend server. */
+/** Placing rule of a baseline. */
 export type BaselineRule = {
-	readonly measures: boolean;
+	readonly usesLoadProbes: boolean;
 	choose(servers: readonly BaselineServer[], random: RandomSource): BaselineServer;
 };
 
-function draw(servers: readonly BaselineServer[], random: RandomSource): BaselineServer {
+function pickRandom(servers: readonly BaselineServer[], random: RandomSource): BaselineServer {
 	return servers[Math.floor(random.next() * servers.length)]!;
 }
 
-/** The rules of the baselines by name. Each is made anew for each VM, for those with a state. */
+/** Factories of the placing rules by policy name. Every VM gets its own instance, since a rule may have state. */
 export const baselineRules: Readonly<Record<string, () => BaselineRule>> = {
-	random: () => ({measures: false, choose: draw}),
+	random: () => ({usesLoadProbes: false, choose: pickRandom}),
 	'round-robin'() {
 		const nextOf = new Map<readonly BaselineServer[], number>();
 		return {
-			measures: false,
+			usesLoadProbes: false,
 			choose(servers, random) {
 				const next = nextOf.get(servers) ?? Math.floor(random.next() * servers.length);
 				nextOf.set(servers, (next + 1) % servers.length);
@@ -42,35 +42,35 @@
 		};
 	},
 	'least-in-flight': () => ({
-		measures: false,
+		usesLoadProbes: false,
 		choose(servers, random) {
 			let least = Infinity;
 			for (const server of servers) {
 				least = Math.min(least, server.inFlight);
 			}
 
-			return draw(servers.filter(server => server.inFlight === least), random);
+			return pickRandom(servers.filter(server => server.inFlight === least), random);
 		},
 	}),
 	'two-choices': () => ({
-		measures: false,
+		usesLoadProbes: false,
 		choose(servers, random) {
-			const [first, second] = [draw(servers, random), draw(servers, random)];
+			const [first, second] = [pickRandom(servers, random), pickRandom(servers, random)];
 			return second.inFlight < first.inFlight ? second : first;
 		},
 	}),
 	'two-choices-measured': () => ({
-		measures: true,
+		usesLoadProbes: true,
 		choose(servers, random) {
-			const [first, second] = [draw(servers, random), draw(servers, random)];
-			return second.measured + second.startedSince < first.measured + first.startedSince ? second : first;
+			const [first, second] = [pickRandom(servers, random), pickRandom(servers, random)];
+			return second.reportedLoad + second.startsSinceReport < first.reportedLoad + first.startsSinceReport ? second : first;
 		},
 	}),
 };
 
 type BaselineCall = {readonly request: CallRequest; readonly deadline: Instant; server: BaselineServer; attemptId: number; isPassedOn: boolean; isOver: boolean};
 
-/** Starts each call once, at once; passes the answer on; gives up at the deadline. */
+/** Starts one attempt for each call at once, passes the answer on, and cancels the call at its deadline. */
 export class BaselineEngine implements CallEngine {
 	private readonly _rule: BaselineRule;
 	private readonly _random: RandomSource;
@@ -78,8 +78,8 @@
 	private readonly _serversOfService = new Map<string, BaselineServer[]>();
 	private readonly _calls = new Map<number, BaselineCall>();
 	private readonly _deadlines = new TimerQueue<BaselineCall>();
-	private readonly _measurements = new Map<number, BaselineServer>();
-	private readonly _nextMeasure = new TimerQueue<BaselineServer>();
+	private readonly _loadProbes = new Map<number, BaselineServer>();
+	private readonly _nextLoadProbes = new TimerQueue<BaselineServer>();
 	private _shares: FleetShares | undefined;
 	private _configuration: CallConfiguration | undefined;
 	private _nextId = 1;
@@ -93,9 +93,9 @@
 	handle(event: CallEvent, now: Instant): readonly CallEffect[] {
 		this._effects = [];
 		if ('attemptId' in event) {
-			this._attemptEvent(event, now);
+			this._handleAttemptEvent(event, now);
 		} else {
-			this._otherEvent(event, now);
+			this._handleOtherEvent(event, now);
 		}
 
 		return this._effects;
@@ -103,8 +103,8 @@
 
 	nextWakeUp(): Instant | undefined {
 		const deadline = this._deadlines.earliest ?? Infinity;
-		const measure = this._nextMeasure.earliest ?? Infinity;
-		const earliest = Math.min(deadline, measure);
+		const nextLoadProbe = this._nextLoadProbes.earliest ?? Infinity;
+		const earliest = Math.min(deadline, nextLoadProbe);
 		return earliest === Infinity ? undefined : earliest;
 	}
 
@@ -118,20 +118,20 @@
 		};
 	}
 
-	private _attemptEvent(event: Extract<CallEvent, {attemptId: number}>, now: Instant): void {
+	private _handleAttemptEvent(event: Extract<CallEvent, {attemptId: number}>, now: Instant): void {
 		switch (event.type) {
 			case 'attempt-head': {
-				this._head(event, now);
+				this._handleHead(event, now);
 				break;
 			}
 
 			case 'attempt-done': {
-				this._end(event.attemptId, now, undefined);
+				this._endCall(event.attemptId, now, undefined);
 				break;
 			}
 
 			case 'attempt-failed': {
-				this._end(event.attemptId, now, 'backend-server-failed');
+				this._endCall(event.attemptId, now, 'backend-server-failed');
 				break;
 			}
 
@@ -141,7 +141,7 @@
 		}
 	}
 
-	private _otherEvent(event: Exclude<CallEvent, {attemptId: number}>, now: Instant): void {
+	private _handleOtherEvent(event: Exclude<CallEvent, {attemptId: number}>, now: Instant): void {
 		switch (event.type) {
 			case 'configured': {
 				this._configure(event.configuration, now);
@@ -154,22 +154,22 @@
 			}
 
 			case 'call-arrived': {
-				this._start(event.request, now);
+				this._startCall(event.request, now);
 				break;
 			}
 
 			case 'measured': {
-				this._measured(event.loadProbeId, event.report);
+				this._handleReport(event.loadProbeId, event.report);
 				break;
 			}
 
 			case 'peer-updates': {
-				this._takeFrame(event.updates);
+				this._applyPeerUpdates(event.updates);
 				break;
 			}
 
 			case 'tick': {
-				this._tick(now);
+				this._handleTick(now);
 				break;
 			}
 
@@ -189,29 +189,29 @@
 		this._configuration = configuration;
 		for (const [identity, declared] of configuration.backendServers) {
 			const server: BaselineServer = {
-				identity, declared, inFlight: 0, measured: 0, startedSince: 0,
+				identity, declared, inFlight: 0, reportedLoad: 0, startsSinceReport: 0,
 			};
 			this._servers.set(identity, server);
 			this._serversOfService.set(declared.service, [...(this._serversOfService.get(declared.service) ?? []), server]);
-			if (this._rule.measures) {
-				this._nextMeasure.add(Math.max(now, this._shares?.loadProbesFrom ?? 0) + (this._random.next() * this._spacing(server)), server);
+			if (this._rule.usesLoadProbes) {
+				this._nextLoadProbes.add(Math.max(now, this._shares?.loadProbesFrom ?? 0) + (this._random.next() * this._loadProbeInterval(server)), server);
 			}
 		}
 	}
 
-	private _spacing(server: BaselineServer): number {
+	private _loadProbeInterval(server: BaselineServer): number {
 		const {callsPerWindow, windowMilliseconds} = this._configuration!.services.get(server.declared.service)!.measuring;
 		const calls = Math.floor((this._shares?.loadProbeFraction ?? 0) * callsPerWindow);
 		return (windowMilliseconds + 20) / calls;
 	}
 
-	private _start(request: CallRequest, now: Instant): void {
+	private _startCall(request: CallRequest, now: Instant): void {
 		const server = this._rule.choose(this._serversOfService.get(request.service)!, this._random);
 		const call: BaselineCall = {
 			request, deadline: now + request.timeoutMilliseconds!, server, attemptId: this._nextId++, isPassedOn: false, isOver: false,
 		};
 		server.inFlight++;
-		server.startedSince++;
+		server.startsSinceReport++;
 		this._calls.set(call.attemptId, call);
 		this._deadlines.add(call.deadline, call);
 		this._effects.push({
@@ -228,14 +228,14 @@
 		});
 	}
 
-	private _head(event: Extract<CallEvent, {type: 'attempt-head'}>, now: Instant): void {
+	private _handleHead(event: Extract<CallEvent, {type: 'attempt-head'}>, now: Instant): void {
 		const call = this._calls.get(event.attemptId);
 		if (call === undefined) {
 			return;
 		}
 
 		if (event.isDeclaredNotRun) {
-			this._end(event.attemptId, now, 'overloaded');
+			this._endCall(event.attemptId, now, 'overloaded');
 			return;
 		}
 
@@ -245,7 +245,7 @@
 		});
 	}
 
-	private _end(attemptId: number, now: Instant, reason: 'backend-server-failed' | 'overloaded' | 'deadline-exceeded' | undefined): void {
+	private _endCall(attemptId: number, now: Instant, reason: 'backend-server-failed' | 'overloaded' | 'deadline-exceeded' | undefined): void {
 		const call = this._calls.get(attemptId);
 		if (call === undefined) {
 			return;
@@ -270,15 +270,15 @@
 		});
 	}
 
-	private _measured(loadProbeId: number, report: LoadReport | undefined): void {
-		const server = this._measurements.get(loadProbeId);
-		this._measurements.delete(loadProbeId);
+	private _handleReport(loadProbeId: number, report: LoadReport | undefined): void {
+		const server = this._loadProbes.get(loadProbeId);
+		this._loadProbes.delete(loadProbeId);
 		if (server === undefined || report === undefined) {
 			return;
 		}
 
-		server.measured = report.inFlight + report.queued;
-		server.startedSince = 0;
+		server.reportedLoad = report.inFlight + report.queued;
+		server.startsSinceReport = 0;
 		this._effects.push({
 			type: 'tell-peers',
 			update: {
@@ -287,32 +287,32 @@
 		});
 	}
 
-	private _takeFrame(updateList: readonly LoadUpdate[]): void {
-		for (const {identity, report} of updateList) {
+	private _applyPeerUpdates(updates: readonly LoadUpdate[]): void {
+		for (const {identity, report} of updates) {
 			const server = this._servers.get(identity);
 			if (server !== undefined && report !== undefined) {
-				server.measured = report.inFlight + report.queued;
-				server.startedSince = 0;
+				server.reportedLoad = report.inFlight + report.queued;
+				server.startsSinceReport = 0;
 			}
 		}
 	}
 
-	private _tick(now: Instant): void {
+	private _handleTick(now: Instant): void {
 		for (let call = this._deadlines.takeDue(now); call !== undefined; call = this._deadlines.takeDue(now)) {
 			if (!call.isOver && !call.isPassedOn) {
 				this._effects.push({type: 'cancel-attempt', attemptId: call.attemptId});
-				this._end(call.attemptId, now, 'deadline-exceeded');
+				this._endCall(call.attemptId, now, 'deadline-exceeded');
 			}
 		}
 
-		for (let server = this._nextMeasure.takeDue(now); server !== undefined; server = this._nextMeasure.takeDue(now)) {
+		for (let server = this._nextLoadProbes.takeDue(now); server !== undefined; server = this._nextLoadProbes.takeDue(now)) {
 			if (this._shares === undefined || this._shares.loadProbeFraction === 0) {
 				continue;
 			}
 
 			const loadProbeId = this._nextId++;
-			this._measurements.set(loadProbeId, server);
-			this._nextMeasure.add(now + this._spacing(server), server);
+			this._loadProbes.set(loadProbeId, server);
+			this._nextLoadProbes.add(now + this._loadProbeInterval(server), server);
 			this._effects.push({
 				type: 'measure', loadProbeId, service: server.declared.service, path: '/load', identity: server.identity, address: server.declared.address, port: server.declared.port, timeoutMilliseconds: 20,
 			});
--- a/benchmark/policy/main.ts
+++ b/benchmark/policy/main.ts
@@ -1,4 +1,4 @@
-/** `policy`: the deciders of 16 VMs against baselines, scenario by scenario, in virtual time. */
+/** Benchmark `policy`: compares the call engines of 16 VMs with baselines, scenario by scenario, in virtual time. */
 import {writeFileSync} from 'node:fs';
 import process from 'node:process';
 import {Worker} from 'node:worker_threads';
@@ -17,19 +17,19 @@
 	readonly svg?: string;
 };
 
-/** Seeds that run at once, each on a thread: the rest wait. */
-const mostThreads = 3;
+/** Maximum number of seeds that run in parallel, each on its own thread. */
+const maxThreads = 3;
 
-/** A thread does not inherit the loader of `--import=tsx` on Node 20, so it registers its own. */
+/** On Node 20 a worker thread does not inherit the loader of `--import=tsx`, so it registers tsx itself. */
 const threadCode = `import('tsx/esm/api').then(({register}) => {
 	register();
 	return import(${JSON.stringify(new URL('worker.ts', import.meta.url).href)});
 });`;
 
-/** One seed on a thread of its own; its runs come one after the other. */
-async function runSeed(seed: number, wanted: readonly string[], options: Options): Promise<RunFigures[]> {
+/** Runs all scenarios and policies of one seed in sequence on a worker thread. */
+async function runSeed(seed: number, scenarioNames: readonly string[], options: Options): Promise<RunFigures[]> {
 	const runs: RunFigures[] = [];
-	const worker = new Worker(threadCode, {eval: true, workerData: {seed, scenarios: wanted, policies: options.policy}});
+	const worker = new Worker(threadCode, {eval: true, workerData: {seed, scenarios: scenarioNames, policies: options.policy}});
 	worker.on('message', (figures: RunFigures) => {
 		runs.push(figures);
 	});
@@ -45,15 +45,15 @@
 async function runAll(options: Options): Promise<void> {
 	const firstSeed = Number(options.seed);
 	const seeds = Array.from({length: Number(options.seeds)}, (_, index) => firstSeed + index);
-	const wanted = scenarios.map(scenario => scenario.name).filter(name => options.scenario === undefined || options.scenario.split(',').includes(name));
+	const scenarioNames = scenarios.map(scenario => scenario.name).filter(name => options.scenario === undefined || options.scenario.split(',').includes(name));
 	const startedAt = performance.now();
 	const all: RunFigures[] = [];
 	while (seeds.length > 0) {
-		const batch = await Promise.all(seeds.splice(0, mostThreads).map(async seed => runSeed(seed, wanted, options)));
+		const batch = await Promise.all(seeds.splice(0, maxThreads).map(async seed => runSeed(seed, scenarioNames, options)));
 		all.push(...batch.flat());
 	}
 
-	for (const name of wanted) {
+	for (const name of scenarioNames) {
 		process.stdout.write(renderTable(summarise(all.filter(figures => figures.scenario === name))));
 	}
 
@@ -73,13 +73,13 @@
 
 let finished: Promise<void> | undefined;
 sade('policy', true)
-	.describe('Compare the deciders with baselines in virtual time')
+	.describe('Compare the call engine with baselines in virtual time')
 	.option('--seed', 'First seed', 1)
-	.option('--seeds', 'How many seeds in a row', 3)
+	.option('--seeds', 'Number of consecutive seeds', 3)
 	.option('--scenario', 'Only these scenarios, separated by commas')
-	.option('--policy', 'Only policies whose names begin so, separated by commas; "without" and "weight" are run on demand')
+	.option('--policy', 'Only policies whose names start with one of these prefixes, separated by commas; "without" and "weight" run only if selected')
 	.option('--json', 'File for all figures')
-	.option('--svg', 'File for the chart of tail latency against cost of measuring')
+	.option('--svg', 'File for the chart of tail latency against load probes')
 	.action((options: Options) => {
 		finished = runAll(options);
 	})
--- a/benchmark/policy/model-server.ts
+++ b/benchmark/policy/model-server.ts
@@ -1,10 +1,10 @@
-/** A backend server of the model: slots, a queue, and a speed that can change under running calls. */
+/** Model of a backend server: slots, a queue, and a speed that can change while calls run. */
 import {TimerQueue} from '../../src/common/calls/timer-queue.ts';
 import {type LoadReport} from '../../src/common/calls/types.ts';
 import {type Instant, type Milliseconds} from '../../src/common/model/units.ts';
 import {type ServerControl} from './types.ts';
 
-/** Virtual time: a plain event heap. */
+/** Clock and event queue of a simulation in virtual time. */
 export class VirtualTime {
 	now: Instant = 0;
 	private readonly _events = new TimerQueue<() => void>();
@@ -13,7 +13,7 @@
 		this._events.add(Math.max(instant, this.now), action);
 	}
 
-	/** Runs until nothing is left or `end` has come. */
+	/** Runs scheduled actions in order until none is left or the next one is later than `end`. */
 	run(end: Instant): void {
 		for (let next = this._events.earliest; next !== undefined && next <= end; next = this._events.earliest) {
 			this.now = next;
@@ -22,93 +22,93 @@
 	}
 }
 
-/** How work at a backend server ended. */
-export type WorkEnd = 'done' | 'failed-fast' | 'shed' | 'refused' | 'reset';
+/** How a call at a backend server ended. */
+export type WorkOutcome = 'done' | 'failed-fast' | 'shed' | 'refused' | 'reset';
 
 /** A call at a backend server. */
-export type Work = {
+export type WorkItem = {
 	readonly work: Milliseconds;
-	/** The backend server accepts deadlines: work that is still queued then is dropped as not run. */
+	/** A call that is still queued at this instant is shed as not run. */
 	readonly deadline: Instant;
-	readonly onEnd: (end: WorkEnd) => void;
-	/** First moment in a slot. */
+	readonly onEnd: (end: WorkOutcome) => void;
+	/** Called when the call enters a slot. */
 	readonly onStart: () => void;
 	remaining: number;
 	spent: Milliseconds;
 	isOver: boolean;
 };
 
-/** Calls it holds, running or queued, before it sheds: its connections. */
-const callLimit = 250;
+/** Connection limit of a backend server: further calls, running and queued together, are shed. */
+const maxCalls = 250;
 
-/** How a backend server behaves when it fills up. */
+/** Behaviour of a backend server under high load. */
 export type ServerBehaviour = {
-	/** Calls that wait beyond its slots; one more is shed. */
+	/** Maximum number of queued calls; further calls are shed. */
 	readonly queueLimit: number;
-	/** It never answers a call that it has no room for, instead of shedding it. */
+	/** Whether a call beyond the queue limit is never answered instead of being shed. */
 	readonly isSilentWhenFull: boolean;
-	/** Part of its slots in use from which on all its work takes `kneeFactor` times as long. */
-	readonly kneeAt: number;
-	readonly kneeFactor: number;
-	/** Its reports say how long work takes there at this moment. */
-	readonly tellsWorkTime: boolean;
+	/** Fraction of slots in use above which all running calls take `kneeSlowdown` times as long. */
+	readonly kneeSlotFraction: number;
+	readonly kneeSlowdown: number;
+	/** Whether load reports contain `workTimeFactor`. */
+	readonly reportsWorkTime: boolean;
 };
 
-const plainBehaviour: ServerBehaviour = {
-	queueLimit: Infinity, isSilentWhenFull: false, kneeAt: 1, kneeFactor: 1, tellsWorkTime: false,
+const defaultBehaviour: ServerBehaviour = {
+	queueLimit: Infinity, isSilentWhenFull: false, kneeSlotFraction: 1, kneeSlowdown: 1, reportsWorkTime: false,
 };
 
-/** How long a fail-fast answer takes. */
-const failFastTime: Milliseconds = 0.2;
+/** Duration of a fail-fast answer. */
+const failFastMilliseconds: Milliseconds = 0.2;
 
 /** One backend server. */
 export class ModelServer implements ServerControl {
 	readonly slots: number;
-	/** Slot time spent in all. */
+	/** Total slot time used. */
 	slotTime: Milliseconds = 0;
 	arrivals = 0;
 	private readonly _time: VirtualTime;
-	private readonly _lag: Milliseconds;
+	private readonly _reportLag: Milliseconds;
 	private readonly _name: string;
 	private readonly _behaviour: ServerBehaviour;
-	private _running: Work[] = [];
-	private _queue: Work[] = [];
+	private _running: WorkItem[] = [];
+	private _queue: WorkItem[] = [];
 	private _speed = 1;
 	private _updatedAt: Instant = 0;
-	private _version = 0;
+	private _scheduleVersion = 0;
 	private _incarnation = 1;
 	private _isFailingFast = false;
 	private _isDown = false;
-	private _lie: ((truth: LoadReport) => LoadReport) | undefined;
+	private _reportOverride: ((actual: LoadReport) => LoadReport) | undefined;
 	private readonly _history: Array<{readonly at: Instant; readonly inFlight: number; readonly queued: number}> = [];
 
-	constructor(time: VirtualTime, name: string, slots: number, lag: Milliseconds, behaviour: ServerBehaviour = plainBehaviour) {
+	constructor(time: VirtualTime, name: string, slots: number, reportLag: Milliseconds, behaviour: ServerBehaviour = defaultBehaviour) {
 		this._time = time;
 		this._name = name;
 		this.slots = slots;
-		this._lag = lag;
+		this._reportLag = reportLag;
 		this._behaviour = behaviour;
 	}
 
-	/** What it says of its load; undefined while its process is down. */
+	/** Load report; undefined while the process is down. */
 	report(): LoadReport | undefined {
 		if (this._isDown) {
 			return undefined;
 		}
 
-		const seen = this._lag === 0 ? undefined : this._past(this._time.now - this._lag);
-		const truth: LoadReport = {
-			inFlight: seen?.inFlight ?? this._running.length,
-			queued: seen?.queued ?? this._queue.length,
+		const delayed = this._reportLag === 0 ? undefined : this._loadAt(this._time.now - this._reportLag);
+		const actual: LoadReport = {
+			inFlight: delayed?.inFlight ?? this._running.length,
+			queued: delayed?.queued ?? this._queue.length,
 			slots: this.slots,
 			instance: `${this._name}-${this._incarnation}`,
 			isLeaving: false,
-			...(this._behaviour.tellsWorkTime ? {workTimeFactor: 1 / this._speed} : {}),
+			...(this._behaviour.reportsWorkTime ? {workTimeFactor: 1 / this._speed} : {}),
 		};
-		return this._lie === undefined ? truth : this._lie(truth);
+		return this._reportOverride === undefined ? actual : this._reportOverride(actual);
 	}
 
-	accept(work: Work): void {
+	accept(work: WorkItem): void {
 		if (this._isDown) {
 			work.isOver = true;
 			work.onEnd('refused');
@@ -118,14 +118,14 @@
 		this.arrivals++;
 		if (this._isFailingFast) {
 			work.isOver = true;
-			this._time.at(this._time.now + failFastTime, () => {
+			this._time.at(this._time.now + failFastMilliseconds, () => {
 				work.onEnd('failed-fast');
 			});
 			return;
 		}
 
 		const {queueLimit, isSilentWhenFull} = this._behaviour;
-		if (this._running.length + this._queue.length >= Math.min(callLimit, this.slots + queueLimit)) {
+		if (this._running.length + this._queue.length >= Math.min(maxCalls, this.slots + queueLimit)) {
 			if (!isSilentWhenFull) {
 				work.isOver = true;
 				work.onEnd('shed');
@@ -135,42 +135,42 @@
 		}
 
 		this._queue.push(work);
-		this._fill();
+		this._startQueued();
 	}
 
-	cancel(work: Work): void {
+	cancel(work: WorkItem): void {
 		if (work.isOver) {
 			return;
 		}
 
 		work.isOver = true;
-		this._progress();
+		this._advanceWork();
 		this._running = this._running.filter(one => one !== work);
 		this._queue = this._queue.filter(one => one !== work);
-		this._fill();
+		this._startQueued();
 	}
 
 	setSpeed(speed: number): void {
-		this._progress();
+		this._advanceWork();
 		this._speed = speed;
-		this._plan();
+		this._scheduleCompletion();
 	}
 
 	setFailingFast(isFailing: boolean): void {
 		this._isFailingFast = isFailing;
 	}
 
-	setReport(lie: ((truth: LoadReport) => LoadReport) | undefined): void {
-		this._lie = lie;
+	setReportOverride(override: ((actual: LoadReport) => LoadReport) | undefined): void {
+		this._reportOverride = override;
 	}
 
 	crash(): void {
-		this._progress();
+		this._advanceWork();
 		this._isDown = true;
 		const lost = [...this._running, ...this._queue];
 		this._running = [];
 		this._queue = [];
-		this._plan();
+		this._scheduleCompletion();
 		for (const work of lost) {
 			work.isOver = true;
 			work.onEnd('reset');
@@ -191,19 +191,19 @@
 				spent: 0,
 				isOver: false,
 				onStart() {
-					// Nobody waits for it here.
+					// No VM waits for a foreign call.
 				},
 				onEnd() {
-					// Nobody waits for it here.
+					// No VM waits for a foreign call.
 				},
 			});
 		}
 
-		this._fill();
+		this._startQueued();
 	}
 
-	private _fill(): void {
-		this._progress();
+	private _startQueued(): void {
+		this._advanceWork();
 		while (this._running.length < this.slots && this._queue.length > 0) {
 			const work = this._queue.shift()!;
 			if (work.deadline <= this._time.now) {
@@ -216,44 +216,44 @@
 			this._running.push(work);
 		}
 
-		this._note();
-		this._plan();
+		this._recordHistory();
+		this._scheduleCompletion();
 	}
 
-	/** Work done in a millisecond of each slot in use. */
+	/** Milliseconds of work that each slot in use completes per millisecond. */
 	private get _rate(): number {
-		const {kneeAt, kneeFactor} = this._behaviour;
-		return this._running.length > kneeAt * this.slots ? this._speed / kneeFactor : this._speed;
+		const {kneeSlotFraction, kneeSlowdown} = this._behaviour;
+		return this._running.length > kneeSlotFraction * this.slots ? this._speed / kneeSlowdown : this._speed;
 	}
 
-	/** Brings what runs up to the present. */
-	private _progress(): void {
-		const passed = this._time.now - this._updatedAt;
+	/** Advances the running calls to the present instant. */
+	private _advanceWork(): void {
+		const elapsed = this._time.now - this._updatedAt;
 		this._updatedAt = this._time.now;
-		if (passed === 0) {
+		if (elapsed === 0) {
 			return;
 		}
 
 		const rate = this._rate;
 		for (const work of this._running) {
-			work.remaining -= passed * rate;
-			work.spent += passed;
+			work.remaining -= elapsed * rate;
+			work.spent += elapsed;
 		}
 
-		this.slotTime += passed * this._running.length;
+		this.slotTime += elapsed * this._running.length;
 	}
 
-	private _plan(): void {
-		const version = ++this._version;
-		let least = Infinity;
+	private _scheduleCompletion(): void {
+		const version = ++this._scheduleVersion;
+		let minRemaining = Infinity;
 		for (const work of this._running) {
-			least = Math.min(least, work.remaining);
+			minRemaining = Math.min(minRemaining, work.remaining);
 		}
 
 		const rate = this._rate;
-		if (least < Infinity && rate > 0) {
-			this._time.at(this._time.now + (Math.max(0, least) / rate), () => {
-				if (version === this._version) {
+		if (minRemaining < Infinity && rate > 0) {
+			this._time.at(this._time.now + (Math.max(0, minRemaining) / rate), () => {
+				if (version === this._scheduleVersion) {
 					this._finish();
 				}
 			});
@@ -261,24 +261,24 @@
 	}
 
 	private _finish(): void {
-		this._progress();
+		this._advanceWork();
 		const done = this._running.filter(work => work.remaining <= 1e-9);
 		this._running = this._running.filter(work => work.remaining > 1e-9);
-		this._fill();
+		this._startQueued();
 		for (const work of done) {
 			work.isOver = true;
 			work.onEnd('done');
 		}
 	}
 
-	private _note(): void {
-		if (this._lag > 0) {
+	private _recordHistory(): void {
+		if (this._reportLag > 0) {
 			this._history.push({at: this._time.now, inFlight: this._running.length, queued: this._queue.length});
 		}
 	}
 
-	/** The latest entry at or before an instant; what is older is dropped. */
-	private _past(instant: Instant): {readonly inFlight: number; readonly queued: number} {
+	/** Returns the latest history entry at or before an instant and drops older entries. */
+	private _loadAt(instant: Instant): {readonly inFlight: number; readonly queued: number} {
 		while (this._history.length > 1 && this._history[1]!.at <= instant) {
 			this._history.shift();
 		}
--- a/benchmark/policy/model-vm.ts
+++ b/benchmark/policy/model-vm.ts
@@ -1,51 +1,50 @@
-/** A VM of the model: carries an engine's effects out against the model's backend servers. */
+/** Model of a VM: executes the effects of a call engine against the model backend servers. */
 import {
 	type CallEffect, type CallEngine, type CallEvent, type LoadUpdate,
 } from '../../src/common/calls/types.ts';
 import {type Instant, type Milliseconds} from '../../src/common/model/units.ts';
 import {
-	type ModelServer, type VirtualTime, type Work, type WorkEnd,
+	type ModelServer, type VirtualTime, type WorkItem, type WorkOutcome,
 } from './model-server.ts';
 import {type CallRecord} from './types.ts';
 
-/** What a VM sees of the rest of the model. */
-export type VmSurroundings = {
+/** Interface of a VM to the rest of the model. */
+export type VmEnvironment = {
 	readonly time: VirtualTime;
 	readonly serverOf: (identity: string) => ModelServer;
 	readonly latencyTo: (identity: string) => Milliseconds;
 	readonly hasReportsOnAnswers: boolean;
-	readonly onMeasure: (identity: string, at: Instant) => void;
-	readonly onUpdate: (update: LoadUpdate) => void;
-	/** Slot time whose answer nobody got. */
-	readonly onWaste: (spent: Milliseconds) => void;
+	readonly onLoadProbe: (identity: string, at: Instant) => void;
+	readonly onLoadUpdate: (update: LoadUpdate) => void;
+	/** Receives slot time of work whose answer reached no caller. */
+	readonly onWastedWork: (spent: Milliseconds) => void;
 };
 
-type Running = {readonly callId: number; readonly server: ModelServer; readonly latency: Milliseconds; readonly work: Work};
+type RunningAttempt = {readonly callId: number; readonly server: ModelServer; readonly latency: Milliseconds; readonly work: WorkItem};
 
-/** One VM. */
 export class ModelVm {
 	private readonly _engine: CallEngine;
-	private readonly _around: VmSurroundings;
+	private readonly _environment: VmEnvironment;
 	private readonly _records = new Map<number, CallRecord>();
 	private readonly _listeners = new Map<number, (record: CallRecord) => void>();
-	private readonly _attempts = new Map<number, Running>();
-	private readonly _passedOn = new Map<number, {attemptId: number; isGood: boolean}>();
+	private readonly _attempts = new Map<number, RunningAttempt>();
+	private readonly _answers = new Map<number, {attemptId: number; isGood: boolean}>();
 	private _wakeUpAt: Instant | undefined;
 
-	constructor(engine: CallEngine, around: VmSurroundings) {
+	constructor(engine: CallEngine, environment: VmEnvironment) {
 		this._engine = engine;
-		this._around = around;
+		this._environment = environment;
 	}
 
-	/** `onEnded` is told once the call has come to its end. */
-	arrive(callId: number, record: CallRecord, onEnded?: (record: CallRecord) => void): void {
+	/** Passes a new call to the engine; `onEnded` is called when the call has ended. */
+	startCall(callId: number, record: CallRecord, onEnded?: (record: CallRecord) => void): void {
 		this._records.set(callId, record);
 		if (onEnded !== undefined) {
 			this._listeners.set(callId, onEnded);
 		}
 
 		const {planned} = record;
-		this.feed({
+		this.handle({
 			type: 'call-arrived',
 			request: {
 				callId,
@@ -63,25 +62,25 @@
 		});
 	}
 
-	feed(event: CallEvent): void {
-		const {now} = this._around.time;
+	handle(event: CallEvent): void {
+		const {now} = this._environment.time;
 		for (const effect of this._engine.handle(event, now)) {
-			this._carryOut(effect, now);
+			this._execute(effect, now);
 		}
 
 		const wakeUpAt = this._engine.nextWakeUp();
 		if (wakeUpAt !== undefined && (this._wakeUpAt === undefined || wakeUpAt < this._wakeUpAt)) {
 			this._wakeUpAt = wakeUpAt;
-			this._around.time.at(wakeUpAt, () => {
+			this._environment.time.at(wakeUpAt, () => {
 				if (this._wakeUpAt === wakeUpAt) {
 					this._wakeUpAt = undefined;
-					this.feed({type: 'tick'});
+					this.handle({type: 'tick'});
 				}
 			});
 		}
 	}
 
-	private _carryOut(effect: CallEffect, now: Instant): void {
+	private _execute(effect: CallEffect, now: Instant): void {
 		switch (effect.type) {
 			case 'start-attempt': {
 				this._start(effect, now);
@@ -94,14 +93,14 @@
 			}
 
 			case 'pass-on': {
-				this._passedOn.set(effect.callId, {attemptId: effect.attemptId, isGood: effect.outcome === 'ran'});
+				this._answers.set(effect.callId, {attemptId: effect.attemptId, isGood: effect.outcome === 'ran'});
 				break;
 			}
 
 			case 'refuse': {
 				const record = this._records.get(effect.callId)!;
 				record.isRefused = true;
-				record.retryAfter = effect.outcome === 'not-run' ? effect.retryAfterMilliseconds : undefined;
+				record.retryAfterMilliseconds = effect.outcome === 'not-run' ? effect.retryAfterMilliseconds : undefined;
 				break;
 			}
 
@@ -111,12 +110,12 @@
 			}
 
 			case 'measure': {
-				this._measure(effect, now);
+				this._sendLoadProbe(effect, now);
 				break;
 			}
 
 			case 'tell-peers': {
-				this._around.onUpdate(effect.update);
+				this._environment.onLoadUpdate(effect.update);
 				break;
 			}
 
@@ -132,19 +131,19 @@
 	private _end(callId: number, now: Instant): void {
 		const record = this._records.get(callId)!;
 		record.endedAt = now;
-		record.isGood = !record.isRefused && this._passedOn.get(callId)?.isGood === true && now <= record.planned.at + record.planned.timeout;
+		record.isGood = !record.isRefused && this._answers.get(callId)?.isGood === true && now <= record.planned.at + record.planned.timeout;
 		this._records.delete(callId);
-		this._passedOn.delete(callId);
+		this._answers.delete(callId);
 		this._listeners.get(callId)?.(record);
 		this._listeners.delete(callId);
 	}
 
 	private _start(effect: CallEffect & {type: 'start-attempt'}, now: Instant): void {
-		const {time} = this._around;
-		const server = this._around.serverOf(effect.identity);
-		const latency = this._around.latencyTo(effect.identity);
+		const {time} = this._environment;
+		const server = this._environment.serverOf(effect.identity);
+		const latency = this._environment.latencyTo(effect.identity);
 		const record = this._records.get(effect.callId)!;
-		const work: Work = {
+		const work: WorkItem = {
 			work: record.planned.work,
 			deadline: now + effect.timeoutMilliseconds,
 			remaining: record.planned.work,
@@ -154,7 +153,7 @@
 				record.starts++;
 			},
 			onEnd: end => {
-				const report = this._around.hasReportsOnAnswers ? server.report() : undefined;
+				const report = this._environment.hasReportsOnAnswers ? server.report() : undefined;
 				time.at(time.now + latency, () => {
 					this._attemptEnded(effect.attemptId, end, report);
 				});
@@ -163,7 +162,7 @@
 		this._attempts.set(effect.attemptId, {
 			callId: effect.callId, server, latency, work,
 		});
-		this.feedLater({type: 'attempt-sent', attemptId: effect.attemptId}, now);
+		this._handleLater({type: 'attempt-sent', attemptId: effect.attemptId}, now);
 		time.at(now + latency, () => {
 			if (!work.isOver) {
 				server.accept(work);
@@ -171,10 +170,10 @@
 		});
 	}
 
-	/** Events that an effect causes at once come after the present event, as in the data path. */
-	private feedLater(event: CallEvent, now: Instant): void {
-		this._around.time.at(now, () => {
-			this.feed(event);
+	/** Delivers an event after the present one at the same instant, as the data path does for events that an effect causes at once. */
+	private _handleLater(event: CallEvent, now: Instant): void {
+		this._environment.time.at(now, () => {
+			this.handle(event);
 		});
 	}
 
@@ -186,14 +185,14 @@
 		}
 
 		const {work, server, latency} = running;
-		this._around.time.at(this._around.time.now + latency, () => {
+		this._environment.time.at(this._environment.time.now + latency, () => {
 			server.cancel(work);
 			work.isOver = true;
-			this._around.onWaste(work.spent);
+			this._environment.onWastedWork(work.spent);
 		});
 	}
 
-	private _attemptEnded(attemptId: number, end: WorkEnd, report: ReturnType<ModelServer['report']> | undefined): void {
+	private _attemptEnded(attemptId: number, end: WorkOutcome, report: ReturnType<ModelServer['report']> | undefined): void {
 		const running = this._attempts.get(attemptId);
 		if (running === undefined) {
 			return;
@@ -201,8 +200,8 @@
 
 		this._attempts.delete(attemptId);
 		if (end === 'refused' || end === 'reset') {
-			this._around.onWaste(running.work.spent);
-			this.feed({
+			this._environment.onWastedWork(running.work.spent);
+			this.handle({
 				type: 'attempt-failed',
 				attemptId,
 				failure: end === 'refused' ? 'connection-refused' : 'reset-after-sending',
@@ -212,7 +211,7 @@
 			return;
 		}
 
-		this.feed({
+		this.handle({
 			type: 'attempt-head',
 			attemptId,
 			status: end === 'done' ? 200 : (end === 'shed' ? 503 : 500),
@@ -221,19 +220,19 @@
 			validator: undefined,
 			isReplayable: true,
 		});
-		if (this._passedOn.get(running.callId)?.attemptId === attemptId) {
-			this.feed({type: 'attempt-done', attemptId});
+		if (this._answers.get(running.callId)?.attemptId === attemptId) {
+			this.handle({type: 'attempt-done', attemptId});
 		}
 	}
 
-	private _measure(effect: CallEffect & {type: 'measure'}, now: Instant): void {
-		const {time} = this._around;
-		const latency = this._around.latencyTo(effect.identity);
+	private _sendLoadProbe(effect: CallEffect & {type: 'measure'}, now: Instant): void {
+		const {time} = this._environment;
+		const latency = this._environment.latencyTo(effect.identity);
 		time.at(now + latency, () => {
-			this._around.onMeasure(effect.identity, time.now);
-			const report = this._around.serverOf(effect.identity).report();
+			this._environment.onLoadProbe(effect.identity, time.now);
+			const report = this._environment.serverOf(effect.identity).report();
 			time.at(time.now + latency, () => {
-				this.feed({type: 'measured', loadProbeId: effect.loadProbeId, report});
+				this.handle({type: 'measured', loadProbeId: effect.loadProbeId, report});
 			});
 		});
 	}
--- a/benchmark/policy/policies.ts
+++ b/benchmark/policy/policies.ts
@@ -1,4 +1,4 @@
-/** What is compared: the engine, the engine with single mechanisms off, and baselines. */
+/** Compared policies: the call engine, the call engine with single mechanisms disabled, and baselines. */
 import {DefaultCallEngine} from '../../src/common/calls/call-engine.ts';
 import {type CallTuning} from '../../src/common/calls/tuning.ts';
 import {baselineRules, BaselineEngine} from './baseline-engine.ts';
@@ -18,8 +18,8 @@
 	makeEngine: random => new BaselineEngine(makeRule(), random),
 }));
 
-/** The engine with one mechanism set to its neutral value. */
-const withouts: Policy[] = Object.entries<Partial<CallTuning>>({
+/** The call engine with one mechanism disabled by a neutral value. */
+const ablations: Policy[] = Object.entries<Partial<CallTuning>>({
 	reports: {reportLifetimeFactor: 0},
 	'aging-of-reports': {reportLifetimeFactor: 1e6},
 	slowness: {slownessDecayMilliseconds: 0.001},
@@ -36,27 +36,26 @@
 	fairness: {isFairQueue: false},
 }).map(([name, tuning]) => engine(`without-${name}`, 1, tuning));
 
-/** The engine at other weights of the tail, for the chart. */
-const weights: Policy[] = [0.25, 0.5, 0.75].map(weight => engine(`weight-${weight}`, weight));
+/** The call engine at intermediate tail weights, for the chart. */
+const tailWeightVariants: Policy[] = [0.25, 0.5, 0.75].map(weight => engine(`weight-${weight}`, weight));
 
-/** All policies, in the order of the table. */
+/** Policies that run by default, in the order of the table. */
 const policies: readonly Policy[] = [
 	...baselines,
 	engine('jaydale', 1),
 	engine('jaydale-cometa', 0),
 ];
 
-/** Single mechanisms off and other weights run on demand: they take three times as long as the rest. */
-const extraPolicies: readonly Policy[] = [...withouts, ...weights];
+/** Policies that run only if selected: together they take three times as long as the default ones. */
+const extraPolicies: readonly Policy[] = [...ablations, ...tailWeightVariants];
 
-/** The policies whose names begin with one of the wishes; without a wish all but the extra ones. */
-export function selectPolicies(wishes: string | undefined): readonly Policy[] {
-	if (wishes === undefined) {
+/** Returns the policies whose names start with one of the comma-separated prefixes; without prefixes the default ones. */
+export function selectPolicies(namePrefixes: string | undefined): readonly Policy[] {
+	if (namePrefixes === undefined) {
 		return policies;
 	}
 
-	return [...policies, ...extraPolicies].filter(policy => wishes.split(',').some(wish => policy.name.startsWith(wish)));
+	return [...policies, ...extraPolicies].filter(policy => namePrefixes.split(',').some(prefix => policy.name.startsWith(prefix)));
 }
 
-/** Names of the baselines. */
 export const baselineNames: ReadonlySet<string> = new Set(baselines.map(policy => policy.name));
--- a/benchmark/policy/scenarios.ts
+++ b/benchmark/policy/scenarios.ts
@@ -1,33 +1,33 @@
-/** The loads and faults that policies are compared under. */
+/** Loads and faults under which the policies are compared. */
 import {type Instant} from '../../src/common/model/units.ts';
 import {
 	type CallKind, type Scenario, type ScenarioControl,
 } from './types.ts';
 
-/** A quote: short, and stale when late. */
+/** A read with a short timeout: a late answer is useless. */
 const read: CallKind = {
 	path: '/spectrum/spans/17', method: 'GET', share: 1, work: 10, timeout: 250,
 };
 
-/** An order: never hedged, and retried only on proof that it did not run. */
+/** A write: never hedged, and retried only if it provably did not run. */
 const order: CallKind = {...read, path: '/orders', method: 'POST'};
 
 const plain: Scenario = {
 	name: 'plain',
 	services: [{name: 'spectrum', servers: 20, load: 0.7}],
 	kinds: [read],
-	factorAt: () => 1,
-	heavyCallerPart: 0,
+	loadFactorAt: () => 1,
+	heavyCallerFraction: 0,
 	hasReportsOnAnswers: true,
 	reportLag: 0,
 	isOverloaded: false,
-	prepare() {
-		// Nothing fails.
+	scheduleFaults() {
+		// No faults.
 	},
 	milliseconds: 2400,
 };
 
-function loaded(load: number): Scenario {
+function constantLoad(load: number): Scenario {
 	return {
 		...plain,
 		name: `load-${load}`,
@@ -36,24 +36,24 @@
 	};
 }
 
-/** Each backend server of the list switches between full speed and a slow phase of its own. */
-function swing(control: ScenarioControl, mean: {readonly full: number; readonly slow: number; readonly speed: number}): void {
+/** Each backend server alternates independently between full speed and slow phases of random duration with the given means. */
+function alternateSpeeds(control: ScenarioControl, phases: {readonly full: number; readonly slow: number; readonly speed: number}): void {
 	for (const server of control.servers) {
 		const change = (at: Instant, isSlow: boolean): void => {
 			control.at(at, () => {
-				server.setSpeed(isSlow ? mean.speed : 1);
-				const span = -Math.log(1 - control.random.next()) * (isSlow ? mean.slow : mean.full);
+				server.setSpeed(isSlow ? phases.speed : 1);
+				const duration = -Math.log(1 - control.random.next()) * (isSlow ? phases.slow : phases.full);
 				if (at < plain.milliseconds) {
-					change(at + span, !isSlow);
+					change(at + duration, !isSlow);
 				}
 			});
 		};
 
-		change(-Math.log(1 - control.random.next()) * mean.full, true);
+		change(-Math.log(1 - control.random.next()) * phases.full, true);
 	}
 }
 
-/** Few calls, so that own calls teach little; no reports on answers; bursts of others' work of half a second. */
+/** Few calls, so that a VM learns little from its own calls; no reports on answers; bursts of foreign calls that take half a second. */
 function neighbours(name: string, kind: CallKind): Scenario {
 	return {
 		...plain,
@@ -61,7 +61,7 @@
 		services: [{name: 'spectrum', servers: 20, load: 0.05}],
 		kinds: [kind],
 		hasReportsOnAnswers: false,
-		prepare(control) {
+		scheduleFaults(control) {
 			for (const server of control.servers) {
 				for (let at = 0; at < 15_000; at += -Math.log(1 - control.random.next()) * 10_000) {
 					control.at(at, () => {
@@ -74,13 +74,13 @@
 	};
 }
 
-/** One backend server answers 500 at once. */
+/** From 700 ms on, one backend server answers every call with 500 at once. */
 function failFast(name: string, kind: CallKind): Scenario {
 	return {
 		...plain,
 		name,
 		kinds: [kind],
-		prepare(control) {
+		scheduleFaults(control) {
 			control.at(700, () => {
 				control.servers[3]!.setFailingFast(true);
 			});
@@ -89,13 +89,13 @@
 	};
 }
 
-/** Backend servers die and come back with cold caches, which warm up within a second. */
+/** Backend servers crash and restart with cold caches, which take about one second to warm up. */
 function coldStart(name: string, kind: CallKind, indices: readonly number[]): Scenario {
 	return {
 		...plain,
 		name,
 		kinds: [kind],
-		prepare(control) {
+		scheduleFaults(control) {
 			for (const index of indices) {
 				const server = control.servers[index]!;
 				control.at(800, () => {
@@ -115,30 +115,30 @@
 	};
 }
 
-/** All scenarios, in the order of the table. */
+/** All scenarios, in the order in which they run. */
 export const scenarios: readonly Scenario[] = [
-	loaded(0.7),
-	loaded(0.9),
-	loaded(1.2),
-	loaded(2),
+	constantLoad(0.7),
+	constantLoad(0.9),
+	constantLoad(1.2),
+	constantLoad(2),
 	{
 		...plain,
 		name: 'bursts',
 		services: [{name: 'spectrum', servers: 20, load: 0.5}],
-		// A rush of 60 ms at 1.5 times capacity, twice a second.
-		factorAt: instant => instant % 500 < 60 ? 3 : 1,
+		// Twice a second, a burst of 60 ms at 1.5 times the capacity.
+		loadFactorAt: instant => instant % 500 < 60 ? 3 : 1,
 	},
 	{
 		...plain,
 		name: 'skewed-callers',
 		services: [{name: 'spectrum', servers: 20, load: 0.8}],
-		heavyCallerPart: 0.4,
+		heavyCallerFraction: 0.4,
 	},
 	{
 		...plain,
 		name: 'greedy-caller',
 		services: [{name: 'spectrum', servers: 20, load: 1.3}],
-		heavyCallerPart: 0.6,
+		heavyCallerFraction: 0.6,
 		isOverloaded: true,
 	},
 	{
@@ -167,7 +167,7 @@
 	{
 		...plain,
 		name: 'slow',
-		prepare(control) {
+		scheduleFaults(control) {
 			control.at(700, () => {
 				control.servers[3]!.setSpeed(0.1);
 			});
@@ -179,8 +179,8 @@
 		...plain,
 		name: 'swinging',
 		services: [{name: 'spectrum', servers: 20, load: 0.5}],
-		prepare(control) {
-			swing(control, {full: 400, slow: 60, speed: 0.1});
+		scheduleFaults(control) {
+			alternateSpeeds(control, {full: 400, slow: 60, speed: 0.1});
 		},
 	},
 	{
@@ -188,8 +188,8 @@
 		name: 'swinging-silent',
 		services: [{name: 'spectrum', servers: 20, load: 0.5}],
 		hasReportsOnAnswers: false,
-		prepare(control) {
-			swing(control, {full: 1500, slow: 400, speed: 0.25});
+		scheduleFaults(control) {
+			alternateSpeeds(control, {full: 1500, slow: 400, speed: 0.25});
 		},
 	},
 	neighbours('neighbours', read),
@@ -207,7 +207,7 @@
 	{
 		...plain,
 		name: 'rolling',
-		prepare(control) {
+		scheduleFaults(control) {
 			for (let index = 0; index < 16; index++) {
 				control.at(700 + (index * 130), () => {
 					control.replaceVm(index);
@@ -221,17 +221,17 @@
 		...plain,
 		name: 'lagging',
 		reportLag: 300,
-		prepare(control) {
-			swing(control, {full: 1500, slow: 300, speed: 0.25});
+		scheduleFaults(control) {
+			alternateSpeeds(control, {full: 1500, slow: 300, speed: 0.25});
 		},
 		services: [{name: 'spectrum', servers: 20, load: 0.6}],
 	},
 	{
 		...plain,
 		name: 'misleading',
-		prepare(control) {
+		scheduleFaults(control) {
 			for (const index of [4, 11]) {
-				control.servers[index]!.setReport(truth => ({...truth, inFlight: 0, queued: 0}));
+				control.servers[index]!.setReportOverride(actual => ({...actual, inFlight: 0, queued: 0}));
 				control.at(700, () => {
 					control.servers[index]!.setSpeed(0.2);
 				});
--- a/benchmark/policy/simulation.ts
+++ b/benchmark/policy/simulation.ts
@@ -1,4 +1,4 @@
-/** One run: a scenario's calls through the engines of all VMs against the model, in virtual time. */
+/** Runs a scenario: the call engines of all VMs send its calls to model backend servers, in virtual time. */
 import {type CallConfiguration, type FleetShares, type LoadUpdate} from '../../src/common/calls/types.ts';
 import {backendServerSchema, serviceSchema} from '../../src/common/model/resources.ts';
 import {type Instant, type Milliseconds, type RandomSource} from '../../src/common/model/units.ts';
@@ -7,22 +7,21 @@
 import {ModelVm} from './model-vm.ts';
 import {
 	type CallKind, type CallRecord, type PlannedCall, type Policy, type RunFigures, type Scenario, type ScenarioService,
-	dataCentres, localLatency, measuringBudget, remoteLatency, shareSlots, vmCount,
+	dataCentres, localLatencyMilliseconds, loadProbeBudget, remoteLatencyMilliseconds, shareSlots, vmCount,
 } from './types.ts';
 import {figuresOf} from './figures.ts';
 
-/** Slots of each backend server of the model. */
-const slotsOfServer = 6;
+const slotsPerServer = 6;
 
-/** Calls that arrive earlier than this are not counted: engines start with no knowledge. */
-const warmUp: Milliseconds = 500;
+/** Calls that arrive before this instant are not counted, since the engines start without load data. */
+const warmUpMilliseconds: Milliseconds = 500;
 
-/** After the last arrival the run goes on until every call has ended. */
-const windDown: Milliseconds = 1500;
+/** Time after the last arrival in which the calls in flight complete. */
+const completionMilliseconds: Milliseconds = 1500;
 
 type PlacedServer = {readonly identity: string; readonly service: string; readonly dataCentre: string; readonly server: ModelServer};
 
-/** One run of one policy under one seed. */
+/** One run of one policy with one seed. */
 export class Simulation {
 	private readonly _scenario: Scenario;
 	private readonly _policy: Policy;
@@ -31,12 +30,12 @@
 	private readonly _servers: PlacedServer[] = [];
 	private readonly _serverByIdentity = new Map<string, PlacedServer>();
 	private readonly _vms: ModelVm[] = [];
-	private readonly _slotOfVm: number[] = [];
-	private readonly _slotFreeAt: Instant[] = [];
+	private readonly _shareSlotOfVm: number[] = [];
+	private readonly _shareSlotFreeAt: Instant[] = [];
 	private readonly _allVms: ModelVm[] = [];
 	private readonly _configuration: CallConfiguration;
-	private readonly _measured = new Map<string, Instant[]>();
-	private _waste: Milliseconds = 0;
+	private readonly _loadProbeTimes = new Map<string, Instant[]>();
+	private _wastedMilliseconds: Milliseconds = 0;
 	private _updateCount = 0;
 	private _engineCount = 0;
 
@@ -48,29 +47,29 @@
 			this._addServers(service);
 		}
 
-		this._configuration = this._declare();
+		this._configuration = this._makeConfiguration();
 	}
 
 	run(): RunFigures {
 		for (let slot = 0; slot < shareSlots; slot++) {
-			this._slotFreeAt.push(-Infinity);
+			this._shareSlotFreeAt.push(-Infinity);
 		}
 
 		for (let index = 0; index < vmCount; index++) {
-			this._slotOfVm.push(index);
+			this._shareSlotOfVm.push(index);
 			this._vms.push(this._makeVm(index, 0));
 		}
 
-		const records = this._plan().map((planned): CallRecord => ({
+		const records = this._planCalls().map((planned): CallRecord => ({
 			planned, endedAt: undefined, isGood: false, isRefused: false, starts: 0,
 		}));
 		for (const [callId, record] of records.entries()) {
 			this._time.at(record.planned.at, () => {
-				this._vms[record.planned.vm]!.arrive(callId, record);
+				this._vms[record.planned.vm]!.startCall(callId, record);
 			});
 		}
 
-		this._scenario.prepare({
+		this._scenario.scheduleFaults({
 			servers: this._servers.map(placed => placed.server),
 			random: seededRandom(this._seed + 77),
 			at: (instant, action) => {
@@ -81,18 +80,18 @@
 			},
 		});
 		const startedAt = performance.now();
-		this._time.run(this._scenario.milliseconds + windDown);
+		this._time.run(this._scenario.milliseconds + completionMilliseconds);
 		const milliseconds = performance.now() - startedAt;
 		return figuresOf({
 			scenario: this._scenario,
 			policy: this._policy.name,
 			seed: this._seed,
 			records,
-			from: warmUp,
+			countedFrom: warmUpMilliseconds,
 			servers: this._servers.map(placed => ({
-				service: placed.service, server: placed.server, measuredAt: this._measured.get(placed.identity) ?? [],
+				service: placed.service, server: placed.server, loadProbesAt: this._loadProbeTimes.get(placed.identity) ?? [],
 			})),
-			waste: this._waste,
+			wastedMilliseconds: this._wastedMilliseconds,
 			updateCount: this._updateCount,
 			microseconds: 1000 * milliseconds,
 		});
@@ -105,21 +104,21 @@
 				identity,
 				service: service.name,
 				dataCentre: dataCentres[index % dataCentres.length]!,
-				server: this._shared(index) ?? new ModelServer(this._time, identity, slotsOfServer, this._scenario.reportLag),
+				server: this._sharedServer(index) ?? new ModelServer(this._time, identity, slotsPerServer, this._scenario.reportLag),
 			};
 			this._servers.push(placed);
 			this._serverByIdentity.set(identity, placed);
 		}
 	}
 
-	/** The first service's backend server, where a scenario lets services share them. */
-	private _shared(index: number): ModelServer | undefined {
+	/** Returns a backend server of the first service if the services of the scenario share their backend servers. */
+	private _sharedServer(index: number): ModelServer | undefined {
 		return this._scenario.sharesServers ? this._servers[index % this._scenario.services[0]!.servers]?.server : undefined;
 	}
 
-	private _declare(): CallConfiguration {
+	private _makeConfiguration(): CallConfiguration {
 		const services = this._scenario.services.map(service => serviceSchema.parse({
-			kind: 'service', name: service.name, priority: service.priority, measuring: {...measuringBudget, tailWeight: this._policy.tailWeight},
+			kind: 'service', name: service.name, priority: service.priority, measuring: {...loadProbeBudget, tailWeight: this._policy.tailWeight},
 		}));
 		return {
 			version: 1,
@@ -131,7 +130,7 @@
 				address: '127.0.0.1',
 				port: 10_000 + index,
 				dataCentre: placed.dataCentre,
-				slots: slotsOfServer,
+				slots: slotsPerServer,
 			})])),
 			sharingRules: [],
 		};
@@ -143,18 +142,18 @@
 		const vm: ModelVm = new ModelVm(this._policy.makeEngine(random, dataCentre), {
 			time: this._time,
 			serverOf: identity => this._serverByIdentity.get(identity)!.server,
-			latencyTo: identity => this._serverByIdentity.get(identity)!.dataCentre === dataCentre ? localLatency : remoteLatency,
+			latencyTo: identity => this._serverByIdentity.get(identity)!.dataCentre === dataCentre ? localLatencyMilliseconds : remoteLatencyMilliseconds,
 			hasReportsOnAnswers: this._scenario.hasReportsOnAnswers,
-			onMeasure: (identity, at) => {
-				const instants = this._measured.get(identity) ?? [];
+			onLoadProbe: (identity, at) => {
+				const instants = this._loadProbeTimes.get(identity) ?? [];
 				instants.push(at);
-				this._measured.set(identity, instants);
+				this._loadProbeTimes.set(identity, instants);
 			},
-			onUpdate: update => {
-				this._spread(vm, update);
+			onLoadUpdate: update => {
+				this._broadcast(vm, update);
 			},
-			onWaste: spent => {
-				this._waste += spent;
+			onWastedWork: wasted => {
+				this._wastedMilliseconds += wasted;
 			},
 		});
 		this._allVms.push(vm);
@@ -165,51 +164,51 @@
 			connectionFraction: 1 / shareSlots,
 			vmCount,
 		};
-		vm.feed({type: 'shares', shares});
-		vm.feed({type: 'configured', configuration: this._configuration});
+		vm.handle({type: 'shares', shares});
+		vm.handle({type: 'configured', configuration: this._configuration});
 		return vm;
 	}
 
-	/** An update reaches every other VM after one hop. */
-	private _spread(from: ModelVm, update: LoadUpdate): void {
+	/** Delivers a load update to all other VMs after the one-way latency between data centres. */
+	private _broadcast(from: ModelVm, update: LoadUpdate): void {
 		this._updateCount++;
-		this._time.at(this._time.now + remoteLatency, () => {
+		this._time.at(this._time.now + remoteLatencyMilliseconds, () => {
 			for (const vm of this._vms) {
 				if (vm !== from) {
-					vm.feed({type: 'peer-updates', updates: [{...update, ageMilliseconds: update.ageMilliseconds + remoteLatency}]});
+					vm.handle({type: 'peer-updates', updates: [{...update, ageMilliseconds: update.ageMilliseconds + remoteLatencyMilliseconds}]});
 				}
 			}
 		});
 	}
 
-	/** The next holder of a slot waits one whole window after the old right ended. */
+	/** The next holder of a share slot sends no load probes until one whole window after the old holder has lost its share. */
 	private _replaceVm(index: number): void {
 		const {now} = this._time;
-		this._slotFreeAt[this._slotOfVm[index]!] = now + measuringBudget.windowMilliseconds;
-		this._vms[index]!.feed({
+		this._shareSlotFreeAt[this._shareSlotOfVm[index]!] = now + loadProbeBudget.windowMilliseconds;
+		this._vms[index]!.handle({
 			type: 'shares',
 			shares: {
 				loadProbeFraction: 0, loadProbesFrom: now, loadProbesUntil: now, connectionFraction: 1 / shareSlots, vmCount,
 			},
 		});
-		const slot = this._slotFreeAt.findIndex((freeAt, candidate) => !this._slotOfVm.includes(candidate) && freeAt <= now);
-		const next = slot === -1 ? this._slotOfVm[index]! : slot;
-		const loadProbesFrom = Math.max(now, this._slotFreeAt[next]!);
-		this._slotOfVm[index] = next;
+		const slot = this._shareSlotFreeAt.findIndex((freeAt, candidate) => !this._shareSlotOfVm.includes(candidate) && freeAt <= now);
+		const next = slot === -1 ? this._shareSlotOfVm[index]! : slot;
+		const loadProbesFrom = Math.max(now, this._shareSlotFreeAt[next]!);
+		this._shareSlotOfVm[index] = next;
 		this._vms[index] = this._makeVm(index, loadProbesFrom);
 	}
 
-	/** The calls of the run: the same for every policy under one seed. */
-	private _plan(): PlannedCall[] {
+	/** Returns the calls of the run; they depend only on scenario and seed. */
+	private _planCalls(): PlannedCall[] {
 		const random = seededRandom(this._seed);
 		const calls: PlannedCall[] = [];
 		const meanWork = this._scenario.kinds.reduce((sum, kind) => sum + (kind.share * kind.work), 0);
 		for (const service of this._scenario.services) {
-			const capacity = service.servers * slotsOfServer / meanWork;
+			const capacity = service.servers * slotsPerServer / meanWork;
 			const peak = 4 * capacity * service.load;
-			// Thinning: arrivals at the highest rate, of which each is kept with the part of its instant.
+			// Poisson arrivals by thinning: candidates arrive at the peak rate, 4 times the load, and are kept with probability factor / 4.
 			for (let at = 0; at < this._scenario.milliseconds; at += -Math.log(1 - random.next()) / peak) {
-				if (random.next() < this._scenario.factorAt(at) / 4) {
+				if (random.next() < this._scenario.loadFactorAt(at) / 4) {
 					calls.push(this._planCall(service.name, at, random));
 				}
 			}
@@ -219,7 +218,7 @@
 	}
 
 	private _planCall(service: string, at: Instant, random: RandomSource): PlannedCall {
-		const isHeavy = random.next() < this._scenario.heavyCallerPart;
+		const isHeavy = random.next() < this._scenario.heavyCallerFraction;
 		const kind = drawKind(this._scenario.kinds, random);
 		return {
 			at,
@@ -235,10 +234,10 @@
 }
 
 function drawKind(kinds: readonly CallKind[], random: RandomSource): CallKind {
-	let rest = random.next();
+	let remainingShare = random.next();
 	for (const kind of kinds) {
-		rest -= kind.share;
-		if (rest < 0) {
+		remainingShare -= kind.share;
+		if (remainingShare < 0) {
 			return kind;
 		}
 	}
@@ -246,12 +245,12 @@
 	return kinds[0]!;
 }
 
-/** Spread of the work of one kind: its p99 is 2.3 times its mean. */
-const sigma = 0.4;
+/** Sigma of the log-normal work of one kind of call: p99 is 2.3 times the mean. */
+const workSigma = 0.4;
 
-/** A log-normal factor with mean 1 (Box and Muller's method). */
+/** Draws a log-normal factor with mean 1 (Box-Muller transform). */
 function logNormal(random: RandomSource): number {
 	const radius = Math.sqrt(-2 * Math.log(1 - random.next()));
 	const normal = radius * Math.cos(2 * Math.PI * random.next());
-	return Math.exp((sigma * normal) - (sigma * sigma / 2));
+	return Math.exp((workSigma * normal) - (workSigma * workSigma / 2));
 }
--- a/benchmark/policy/summary.ts
+++ b/benchmark/policy/summary.ts
@@ -1,16 +1,16 @@
-/** Several seeds of one scenario and policy as one row: the median and the spread. */
+/** Summarises the runs of several seeds and checks them against the goals of the benchmark. */
 import {baselineNames} from './policies.ts';
 import {type RunFigures} from './types.ts';
 
-type Figure = Exclude<keyof RunFigures, 'scenario' | 'policy' | 'seed'>;
+type FigureName = Exclude<keyof RunFigures, 'scenario' | 'policy' | 'seed'>;
 
-/** Median, least and most over the seeds. */
+/** Median, minimum and maximum over the seeds. */
 export type Spread = {readonly median: number; readonly least: number; readonly most: number};
 
-/** One row. */
-export type Summary = {readonly scenario: string; readonly policy: string; readonly seeds: number; readonly figures: Readonly<Record<Figure, Spread>>};
+/** Summary of one policy in one scenario. */
+export type Summary = {readonly scenario: string; readonly policy: string; readonly seeds: number; readonly figures: Readonly<Record<FigureName, Spread>>};
 
-/** One row for each scenario and policy. */
+/** Returns one summary for each pair of scenario and policy. */
 export function summarise(runs: readonly RunFigures[]): Summary[] {
 	const groups = groupBy(runs, run => `${run.scenario}\n${run.policy}`);
 	return Array.from(groups.values(), group => ({
@@ -21,7 +21,7 @@
 	}));
 }
 
-/** Node 20 has no `Map.groupBy`. */
+/** Replacement for `Map.groupBy`, which Node 20 lacks. */
 function groupBy<T>(items: readonly T[], keyOf: (item: T) => string): Map<string, T[]> {
 	const groups = new Map<string, T[]>();
 	for (const item of items) {
@@ -34,28 +34,28 @@
 	return groups;
 }
 
-function spreadsOf(group: readonly RunFigures[]): Record<Figure, Spread> {
-	const of = (figure: Figure): Spread => spread(group.map(run => run[figure]));
+function spreadsOf(group: readonly RunFigures[]): Record<FigureName, Spread> {
+	const spreadOf = (figure: FigureName): Spread => spread(group.map(run => run[figure]));
 	return {
-		calls: of('calls'),
-		p50: of('p50'),
-		p99: of('p99'),
-		p999: of('p999'),
-		floorP99: of('floorP99'),
-		shortP99: of('shortP99'),
-		goodP99: of('goodP99'),
-		goodput: of('goodput'),
-		goodPart: of('goodPart'),
-		refusedPart: of('refusedPart'),
-		promptRefusals: of('promptRefusals'),
-		refusalP99: of('refusalP99'),
-		wastedWork: of('wastedWork'),
-		measuringRate: of('measuringRate'),
-		measuringPeak: of('measuringPeak'),
-		worstShare: of('worstShare'),
-		updateRate: of('updateRate'),
-		lightGoodPart: of('lightGoodPart'),
-		microsecondsPerCall: of('microsecondsPerCall'),
+		calls: spreadOf('calls'),
+		p50: spreadOf('p50'),
+		p99: spreadOf('p99'),
+		p999: spreadOf('p999'),
+		floorP99: spreadOf('floorP99'),
+		shortP99: spreadOf('shortP99'),
+		goodP99: spreadOf('goodP99'),
+		goodput: spreadOf('goodput'),
+		goodPart: spreadOf('goodPart'),
+		refusedPart: spreadOf('refusedPart'),
+		promptRefusals: spreadOf('promptRefusals'),
+		refusalP99: spreadOf('refusalP99'),
+		wastedWork: spreadOf('wastedWork'),
+		measuringRate: spreadOf('measuringRate'),
+		measuringPeak: spreadOf('measuringPeak'),
+		worstShare: spreadOf('worstShare'),
+		updateRate: spreadOf('updateRate'),
+		lightGoodPart: spreadOf('lightGoodPart'),
+		microsecondsPerCall: spreadOf('microsecondsPerCall'),
 	};
 }
 
@@ -64,7 +64,7 @@
 	return {median: sorted[Math.floor(sorted.length / 2)]!, least: sorted[0]!, most: sorted.at(-1)!};
 }
 
-type Column = {readonly title: string; readonly figure: Figure; readonly digits: number; readonly isPercent?: boolean; readonly hasSpread?: boolean};
+type Column = {readonly title: string; readonly figure: FigureName; readonly digits: number; readonly isPercent?: boolean; readonly hasSpread?: boolean};
 
 const columns: readonly Column[] = [
 	{title: 'p50 ms', figure: 'p50', digits: 1},
@@ -90,7 +90,7 @@
 	{
 		title: 'wasted %', figure: 'wastedWork', digits: 2, isPercent: true,
 	},
-	{title: 'meas/s', figure: 'measuringRate', digits: 2},
+	{title: 'probes/s', figure: 'measuringRate', digits: 2},
 	{
 		title: 'peak %', figure: 'measuringPeak', digits: 0, isPercent: true,
 	},
@@ -102,7 +102,7 @@
 	{title: 'µs/call', figure: 'microsecondsPerCall', digits: 0},
 ];
 
-/** A table for people. */
+/** Renders the summaries as a text table. */
 export function renderTable(summaries: readonly Summary[]): string {
 	const rows = [['scenario', 'policy', ...columns.map(column => column.title)]];
 	for (const summary of summaries) {
@@ -120,67 +120,69 @@
 	return column.hasSpread ? `${text(median)} (${text(least)}-${text(most)})` : text(median);
 }
 
-/** Scenarios in which the tail may be at most half of the best baseline's. */
-const halvedScenarios = new Set(['slow', 'fail-fast', 'fail-fast-orders', 'swinging', 'misleading']);
+/** Scenarios in which the goal is a p99 of at most half of the best baseline's. */
+const halfTailScenarios = new Set(['slow', 'fail-fast', 'fail-fast-orders', 'swinging', 'misleading']);
 
-/** Part of capacity that goodput may not fall below at twice the load. */
+/** Minimum goodput at a load of twice the capacity, as a fraction of the capacity. */
 const goodputGoal = 0.95;
 
-/** Part of refusals that must come within a millisecond of when they could be known. */
-const promptGoal = 0.99;
+/** Minimum fraction of refusals that are decided within 1 ms of the call's arrival. */
+const promptRefusalGoal = 0.99;
 
-/** Part of the larger setting's measuring calls that the smaller one may spend. */
-const thriftGoal = 0.1;
+/** Maximum load probe rate at tail weight 0, as a fraction of the rate at weight 1. */
+const probeRatioGoal = 0.1;
 
-function checkOverload(scenario: string, own: Summary): string[] {
+function checkOverload(scenario: string, jaydale: Summary): string[] {
 	if (scenario !== 'load-2') {
 		return [];
 	}
 
-	const goodput = own.figures.goodput.median;
-	const prompt = own.figures.promptRefusals.median;
+	const goodput = jaydale.figures.goodput.median;
+	const prompt = jaydale.figures.promptRefusals.median;
 	return [
 		`${goodput >= goodputGoal ? 'met   ' : 'MISSED'} ${scenario}: goodput ${(100 * goodput).toFixed(1)}% of capacity (goal ${100 * goodputGoal}%)`,
-		`${prompt >= promptGoal ? 'met   ' : 'MISSED'} ${scenario}: ${(100 * prompt).toFixed(2)}% of refusals within 1 ms of arrival`,
+		`${prompt >= promptRefusalGoal ? 'met   ' : 'MISSED'} ${scenario}: ${(100 * prompt).toFixed(2)}% of refusals within 1 ms of arrival`,
 	];
 }
 
 function checkMeasuring(scenario: string, rows: readonly Summary[]): string[] {
-	const own = rows.find(row => row.policy === 'jaydale');
-	const thrifty = rows.find(row => row.policy === 'jaydale-cometa');
-	if (own === undefined || thrifty === undefined || own.figures.measuringRate.median < 5) {
+	const jaydale = rows.find(row => row.policy === 'jaydale');
+	const weightZero = rows.find(row => row.policy === 'jaydale-cometa');
+	if (jaydale === undefined || weightZero === undefined || jaydale.figures.measuringRate.median < 5) {
 		return [];
 	}
 
-	const [spent, saved] = [own.figures.measuringRate.median, thrifty.figures.measuringRate.median];
-	const cost = thrifty.figures.p99.median / own.figures.p99.median;
-	const verdict = saved <= thriftGoal * spent ? 'met   ' : 'MISSED';
-	return [`${verdict} ${scenario}: weight 0 measures ${(100 * saved / spent).toFixed(0)}% of weight 1 (goal ${100 * thriftGoal}%), at ${cost.toFixed(2)} of its p99`];
+	const [jaydaleRate, zeroRate] = [jaydale.figures.measuringRate.median, weightZero.figures.measuringRate.median];
+	const tailRatio = weightZero.figures.p99.median / jaydale.figures.p99.median;
+	const verdict = zeroRate <= probeRatioGoal * jaydaleRate ? 'met   ' : 'MISSED';
+	return [
+		`${verdict} ${scenario}: weight 0 sends ${(100 * zeroRate / jaydaleRate).toFixed(0)}% of the load probes of weight 1 (goal ${100 * probeRatioGoal}%), at ${tailRatio.toFixed(2)} of its p99`,
+	];
 }
 
 function checkPeak(scenario: string, peak: number): string[] {
-	return peak > 1 ? [`MISSED ${scenario}: measuring peak ${(100 * peak).toFixed(0)}% of the budget`] : [];
+	return peak > 1 ? [`MISSED ${scenario}: load probe peak ${(100 * peak).toFixed(0)}% of the budget`] : [];
 }
 
-/** The goals and by how much each is met or missed. */
+/** Returns one line for each goal, with the measured value and whether the goal is met. */
 export function checkGoals(summaries: readonly Summary[]): string {
 	const lines: string[] = [];
 	for (const [scenario, rows] of groupBy(summaries, summary => summary.scenario)) {
-		const own = rows.find(row => row.policy === 'jaydale');
-		const best = rows.filter(row => baselineNames.has(row.policy)).toSorted((a, b) => a.figures.p99.median - b.figures.p99.median)[0];
-		if (own === undefined || best === undefined) {
+		const jaydale = rows.find(row => row.policy === 'jaydale');
+		const bestBaseline = rows.filter(row => baselineNames.has(row.policy)).toSorted((a, b) => a.figures.p99.median - b.figures.p99.median)[0];
+		if (jaydale === undefined || bestBaseline === undefined) {
 			continue;
 		}
 
-		const ratio = own.figures.p99.median / best.figures.p99.median;
-		const goal = halvedScenarios.has(scenario) ? 0.5 : 1;
+		const ratio = jaydale.figures.p99.median / bestBaseline.figures.p99.median;
+		const goal = halfTailScenarios.has(scenario) ? 0.5 : 1;
 		const verdict = ratio <= goal ? 'met   ' : 'MISSED';
-		const [ownTail, bestTail] = [own.figures.p99.median.toFixed(1), best.figures.p99.median.toFixed(1)];
-		const floor = own.figures.floorP99.median.toFixed(1);
+		const [jaydaleTail, bestTail] = [jaydale.figures.p99.median.toFixed(1), bestBaseline.figures.p99.median.toFixed(1)];
+		const floor = jaydale.figures.floorP99.median.toFixed(1);
 		const peak = Math.max(...rows.map(row => row.figures.measuringPeak.most));
 		lines.push(
-			`${verdict} ${scenario}: p99 ${ownTail} ms is ${ratio.toFixed(2)} of ${best.policy}'s ${bestTail} ms (goal ${goal}; floor ${floor} ms)`,
-			...checkOverload(scenario, own),
+			`${verdict} ${scenario}: p99 ${jaydaleTail} ms is ${ratio.toFixed(2)} of ${bestBaseline.policy}'s ${bestTail} ms (goal ${goal}; floor ${floor} ms)`,
+			...checkOverload(scenario, jaydale),
 			...checkMeasuring(scenario, rows),
 			...checkPeak(scenario, peak),
 		);
--- a/benchmark/policy/types.ts
+++ b/benchmark/policy/types.ts
@@ -1,9 +1,9 @@
-/** What the parts of the policy benchmark tell one another. */
+/** Types of the policy benchmark. */
 import {type CallEngine, type CallRule, type LoadReport} from '../../src/common/calls/types.ts';
 import {type Service} from '../../src/common/model/resources.ts';
 import {type Instant, type Milliseconds, type RandomSource} from '../../src/common/model/units.ts';
 
-/** One call of the workload, the same for every policy under one seed. */
+/** A call of the workload. The workload depends only on scenario and seed, not on the policy. */
 export type PlannedCall = {
 	readonly at: Instant;
 	readonly service: string;
@@ -11,36 +11,36 @@
 	readonly vm: number;
 	readonly method: string;
 	readonly path: string;
-	/** Time it takes in one slot of a backend server at full speed. */
+	/** Time that the call occupies one slot of a backend server running at full speed. */
 	readonly work: Milliseconds;
 	readonly timeout: Milliseconds;
-	/** What its route says; undefined where the service decides. */
+	/** Rule of the call's route; undefined if the settings of the service apply. */
 	readonly rule?: CallRule;
 };
 
-/** What one call came to. */
+/** Outcome of one call. */
 export type CallRecord = {
 	readonly planned: PlannedCall;
 	endedAt: Instant | undefined;
-	/** A whole answer without a server error, within the caller's time. */
+	/** The caller received a complete answer without a server error before the call's timeout. */
 	isGood: boolean;
 	isRefused: boolean;
-	/** Refused as not run, with the time after which to come back. */
-	retryAfter?: Milliseconds;
-	/** Times it was begun on a backend server; more than one counts as wasted work. */
+	/** Time after which the caller may retry; set only if the call was refused as not run. */
+	retryAfterMilliseconds?: Milliseconds;
+	/** Number of times that a backend server began to run the call. Runs beyond the first are wasted work. */
 	starts: number;
 };
 
-/** A service of a scenario and the backend servers that carry it. */
+/** A service of a scenario and the number of its backend servers. */
 export type ScenarioService = {
 	readonly name: string;
 	readonly servers: number;
-	/** Part of the scenario's calls; the load is meant per service where `load` is given. */
+	/** Offered load as a fraction of the capacity of the service's backend servers. */
 	readonly load: number;
 	readonly priority?: number;
 };
 
-/** One kind of call. */
+/** A kind of call; `share` is its fraction of all calls. */
 export type CallKind = {
 	readonly path: string;
 	readonly method: string;
@@ -49,61 +49,61 @@
 	readonly timeout: Milliseconds;
 };
 
-/** What a scenario may do to a backend server while it runs. */
+/** Faults that a scenario can inject into a running backend server. */
 export type ServerControl = {
-	/** 1 = full speed, 0.1 = ten times slower; running calls feel it at once. */
+	/** 1 = full speed, 0.1 = ten times slower. Applies to running calls at once. */
 	setSpeed(speed: number): void;
 	/** Answers 500 at once without running anything. */
 	setFailingFast(isFailing: boolean): void;
-	/** What it says of its load instead of the truth. */
-	setReport(lie: ((truth: LoadReport) => LoadReport) | undefined): void;
-	/** The process dies: connections are reset, calls in flight are lost, new ones refused. */
+	/** Replaces the load reports by the result of `override`; undefined = reports show the actual load. */
+	setReportOverride(override: ((actual: LoadReport) => LoadReport) | undefined): void;
+	/** Ends the process: connections are reset, calls in flight are lost, and new connections are refused. */
 	crash(): void;
-	/** It comes back as a new process. */
+	/** Starts a new process after a crash. */
 	restart(): void;
-	/** A neighbour's calls come in: they take slots and are counted in reports, but no VM knows of them. */
+	/** Adds calls that no VM has sent. They occupy slots and are counted in load reports. */
 	addForeignCalls(count: number, work: Milliseconds): void;
 };
 
-/** What a scenario may use to bring its faults about. */
+/** Interface through which a scenario schedules its faults. */
 export type ScenarioControl = {
 	readonly servers: readonly ServerControl[];
 	readonly random: RandomSource;
 	at(instant: Instant, action: () => void): void;
-	/** Replaces one VM's process; the old one ends its calls in flight. */
+	/** Replaces the process of one VM. The old process completes its calls in flight. */
 	replaceVm(index: number): void;
 };
 
-/** A load and its faults. */
+/** A load and the faults that are injected during the run. */
 export type Scenario = {
 	readonly name: string;
 	readonly services: readonly ScenarioService[];
 	readonly kinds: readonly CallKind[];
-	/** Load at an instant as a factor on each service's load. */
-	readonly factorAt: (instant: Instant) => number;
-	/** Part of the calls that come from one caller through one VM; 0 = all spread alike. */
-	readonly heavyCallerPart: number;
-	/** All services are carried by the backend servers of the first. */
+	/** Factor on the load of each service at an instant; at most 4. */
+	readonly loadFactorAt: (instant: Instant) => number;
+	/** Fraction of the calls that one caller sends through one VM; 0 = all calls are spread evenly. */
+	readonly heavyCallerFraction: number;
+	/** Whether all services run on the backend servers of the first service. */
 	readonly sharesServers?: boolean;
 	readonly hasReportsOnAnswers: boolean;
-	/** Age of the truth when a report is made of it. */
+	/** Age of the load figures in a report at the moment at which the report is made. */
 	readonly reportLag: Milliseconds;
-	/** Above capacity the tail is that of good answers; else a failed call counts as its whole timeout. */
+	/** Whether the load exceeds the capacity. Percentiles then cover good answers only; otherwise a failed call counts with its timeout. */
 	readonly isOverloaded: boolean;
-	readonly prepare: (control: ScenarioControl) => void;
-	/** Longest run in virtual time. */
+	readonly scheduleFaults: (control: ScenarioControl) => void;
+	/** Duration of the arrivals in virtual time. */
 	readonly milliseconds: Milliseconds;
 };
 
-/** A policy: makes the decider of one VM. */
+/** A policy under comparison; creates the call engine of one VM. */
 export type Policy = {
 	readonly name: string;
-	/** Weight of the tail in the measuring setting that its services are declared with. */
+	/** `measuring.tailWeight` of the declared services. */
 	readonly tailWeight: number;
 	makeEngine(random: RandomSource, dataCentre: string): CallEngine;
 };
 
-/** Figures of one run. */
+/** Figures of one run. Latencies are in milliseconds. */
 export type RunFigures = {
 	readonly scenario: string;
 	readonly policy: string;
@@ -112,47 +112,46 @@
 	readonly p50: number;
 	readonly p99: number;
 	readonly p999: number;
-	/** p99 that no policy can get below: the calls' own work and the shortest way. */
+	/** Lower bound of p99 for any policy: the work of the calls plus the shortest round trip. */
 	readonly floorP99: number;
-	/** p99 of the kind with the least work. */
+	/** p99 of the kind of call with the least work. */
 	readonly shortP99: number;
-	/** p99 over good answers alone. */
+	/** p99 over good answers only. */
 	readonly goodP99: number;
-	/** Good answers as a part of what all backend servers could carry in the time. */
+	/** Work of the calls with good answers as a fraction of the capacity of all backend servers. */
 	readonly goodput: number;
-	/** Part of all calls that got a good answer. */
+	/** Fraction of all calls that received a good answer. */
 	readonly goodPart: number;
 	readonly refusedPart: number;
-	/** Part of the refusals that were decided within a millisecond of the call's arrival. */
+	/** Fraction of the refusals that were decided within 1 ms of the call's arrival. */
 	readonly promptRefusals: number;
 	readonly refusalP99: number;
-	/** Slot time spent on work that nobody got the answer of, as a part of all slot time spent. */
+	/** Slot time of work whose answer reached no caller, as a fraction of all slot time used. */
 	readonly wastedWork: number;
-	/** Measuring calls a second a backend server, over all VMs. */
+	/** Load probes per second and backend server, from all VMs together. */
 	readonly measuringRate: number;
-	/** Most measuring calls in any window at any backend server, as a part of the budget. */
+	/** Maximum number of load probes at one backend server in one window, as a fraction of the budget. */
 	readonly measuringPeak: number;
-	/** Calls at the busiest backend server over the mean. */
+	/** Calls at the busiest backend server divided by the mean of its service. */
 	readonly worstShare: number;
-	/** Updates to peers a second from all VMs together. */
+	/** Load updates to peers per second, from all VMs together. */
 	readonly updateRate: number;
-	/** Good answers' part of the calls of the most important service, the heavy caller's left out. */
+	/** Fraction of good answers among the calls to the most important service, without those of the heavy caller. */
 	readonly lightGoodPart: number;
-	/** Clock time of the run for each call, all 16 VMs and the model included, in microseconds. */
+	/** Elapsed real time of the run per call in microseconds, for all 16 VMs and the model. */
 	readonly microsecondsPerCall: number;
 };
 
-/** Data centres of the model, and what a call between two of them takes one way. */
+/** Data centres of the model, and one-way latencies within a data centre and between two. */
 export const dataCentres = ['north', 'middle', 'south'] as const;
-export const localLatency: Milliseconds = 0.1;
-export const remoteLatency: Milliseconds = 1.5;
+export const localLatencyMilliseconds: Milliseconds = 0.1;
+export const remoteLatencyMilliseconds: Milliseconds = 1.5;
 
-/** VMs of the model, and share slots of the fleet (old and new VMs fit side by side). */
+/** Number of VMs, and of share slots of the fleet: enough for old and new VMs during a replacement. */
 export const vmCount = 16;
 export const shareSlots = 24;
 
-/** The measuring budget that services are declared with: shorter than the default window, so that a run holds several. */
-export const measuringBudget = {callsPerWindow: 24, windowMilliseconds: 1000} as const;
+/** Load probe budget of the declared services. The window is shorter than the default, so that a run contains several windows. */
+export const loadProbeBudget = {callsPerWindow: 24, windowMilliseconds: 1000} as const;
 
-/** A service as the model declares it. */
 export type ModelService = Service;
--- a/benchmark/policy/worker.ts
+++ b/benchmark/policy/worker.ts
@@ -1,11 +1,11 @@
-/** Runs one seed of all wanted scenarios and policies on a thread of its own. */
+/** Worker thread: runs the selected scenarios and policies with one seed and posts the figures of each run. */
 import {parentPort, workerData} from 'node:worker_threads';
 import {z} from 'zod';
 import {selectPolicies} from './policies.ts';
 import {scenarios} from './scenarios.ts';
 import {Simulation} from './simulation.ts';
 
-/** What a worker is told. */
+/** Data passed to a worker. */
 export const workerTaskSchema = z.object({
 	seed: z.number(),
 	scenarios: z.array(z.string()),
@@ -13,8 +13,8 @@
 });
 
 const task = workerTaskSchema.parse(workerData);
-const wanted = scenarios.filter(scenario => task.scenarios.includes(scenario.name));
-for (const scenario of wanted) {
+const selectedScenarios = scenarios.filter(scenario => task.scenarios.includes(scenario.name));
+for (const scenario of selectedScenarios) {
 	for (const policy of selectPolicies(task.policies)) {
 		parentPort?.postMessage(new Simulation(scenario, policy, task.seed).run());
 	}
--- a/benchmark/warm-up/admissions.ts
+++ b/benchmark/warm-up/admissions.ts
@@ -1,46 +1,46 @@
-/** Ways to share a warming backend server's rate among VMs that do not talk about it. */
+/** Strategies to divide the rate limit of a warming backend server among VMs that do not coordinate. */
 import {type FleetMembers} from '../../src/common/calls/types.ts';
 import {OwnerRateQuota, type SharedServer} from '../../src/common/calls/rate-quota.ts';
 import {type Instant, type RandomSource} from '../../src/common/model/units.ts';
 
-const secondMilliseconds = 1000;
+const millisecondsPerSecond = 1000;
 
-/** What one VM does about warming backend servers. */
+/** Admission of attempts to warming backend servers at one VM. */
 export type WarmUpAdmission = {
-	/** The VMs that this one knows, itself among them. */
+	/** Sets the VMs known to this VM, including itself. */
 	setMembers(members: FleetMembers, now: Instant): void;
-	/** A call has come to this VM. */
-	noteCall(now: Instant): void;
-	/** Whether an attempt may start there. */
+	/** Records a call that arrived at this VM. */
+	recordCall(now: Instant): void;
+	/** Whether an attempt may start at the backend server. */
 	mayStart(server: SharedServer, now: Instant): boolean;
-	/** An attempt starts there. */
-	noteStart(server: SharedServer, now: Instant): void;
+	/** Records the start of an attempt at the backend server. */
+	recordStart(server: SharedServer, now: Instant): void;
 };
 
 function countOf(members: FleetMembers): number {
 	return [...members.byDataCentre.values()].flat().length;
 }
 
-/** Nothing is held back. */
+/** Admits every attempt. */
 export class UnlimitedAdmission implements WarmUpAdmission {
 	setMembers(): void {
-		// Others do not matter.
+		// Admission does not depend on other VMs.
 	}
 
-	noteCall(): void {
-		// The own rate does not matter.
+	recordCall(): void {
+		// Admission does not depend on the rate of calls.
 	}
 
 	mayStart(): boolean {
 		return true;
 	}
 
-	noteStart(): void {
-		// Nothing is counted.
+	recordStart(): void {
+		// Attempts are not counted.
 	}
 }
 
-/** Each VM has a token bucket for each backend server, filled at an even part of the rate. */
+/** Each VM has a token bucket for each backend server, refilled at an even share of the rate. */
 export class EvenAdmission implements WarmUpAdmission {
 	private readonly _rate: number;
 	private readonly _random: RandomSource;
@@ -56,12 +56,12 @@
 		this._vmCount = countOf(members);
 	}
 
-	noteCall(): void {
-		// The own rate does not matter.
+	recordCall(): void {
+		// Admission does not depend on the rate of calls.
 	}
 
 	mayStart({identity}: SharedServer, now: Instant): boolean {
-		const perMillisecond = this._rate / this._vmCount / secondMilliseconds;
+		const perMillisecond = this._rate / this._vmCount / millisecondsPerSecond;
 		const bucket = this._buckets.get(identity) ?? {tokens: this._random.next() < this._rate / this._vmCount ? 1 : this._random.next(), at: now};
 		bucket.tokens = Math.min(Math.max(1, this._rate / this._vmCount), bucket.tokens + ((now - bucket.at) * perMillisecond));
 		bucket.at = now;
@@ -69,12 +69,12 @@
 		return bucket.tokens >= 1;
 	}
 
-	noteStart({identity}: SharedServer): void {
+	recordStart({identity}: SharedServer): void {
 		this._buckets.get(identity)!.tokens -= 1;
 	}
 }
 
-/** The product's way: a few VMs own the backend server's rate. */
+/** The strategy of the product: a few VMs own the rate of each backend server. */
 export class OwnerAdmission implements WarmUpAdmission {
 	private readonly _rate: number;
 	private readonly _quota: OwnerRateQuota;
@@ -89,24 +89,24 @@
 		this._quota.setMembers(members, now);
 	}
 
-	noteCall(): void {
-		// The own rate does not matter.
+	recordCall(): void {
+		// Admission does not depend on the rate of calls.
 	}
 
 	mayStart(server: SharedServer, now: Instant): boolean {
-		return this._within(server, now).length < this._quota.attemptsPerSecond(server, this._rate, now);
+		return this._recentStarts(server, now).length < this._quota.attemptsPerSecond(server, this._rate, now);
 	}
 
-	noteStart(server: SharedServer, now: Instant): void {
-		this._starts.set(server.identity, [...this._within(server, now), now]);
+	recordStart(server: SharedServer, now: Instant): void {
+		this._starts.set(server.identity, [...this._recentStarts(server, now), now]);
 	}
 
-	private _within({identity}: SharedServer, now: Instant): Instant[] {
-		return (this._starts.get(identity) ?? []).filter(at => now - at < secondMilliseconds);
+	private _recentStarts({identity}: SharedServer, now: Instant): Instant[] {
+		return (this._starts.get(identity) ?? []).filter(at => now - at < millisecondsPerSecond);
 	}
 }
 
-/** Each VM lets an attempt through with the chance at which all VMs together come to the rate, as far as it can estimate. */
+/** Each VM admits an attempt with the probability at which the attempts of all VMs add up to the rate, estimated from the VM's own calls. */
 export class ThinnedAdmission implements WarmUpAdmission {
 	private readonly _rate: number;
 	private readonly _random: RandomSource;
@@ -124,8 +124,8 @@
 		this._vmCount = countOf(members);
 	}
 
-	noteCall(now: Instant): void {
-		this._calls = [...this._calls.filter(at => now - at < secondMilliseconds), now];
+	recordCall(now: Instant): void {
+		this._calls = [...this._calls.filter(at => now - at < millisecondsPerSecond), now];
 	}
 
 	mayStart(): boolean {
@@ -133,7 +133,7 @@
 		return this._random.next() < this._rate / Math.max(this._rate, expected);
 	}
 
-	noteStart(): void {
-		// The chance does not go by what was sent.
+	recordStart(): void {
+		// The probability does not depend on earlier attempts.
 	}
 }
--- a/benchmark/warm-up/warm-up-run.ts
+++ b/benchmark/warm-up/warm-up-run.ts
@@ -1,45 +1,45 @@
-/** A data centre's backend servers come back cold in a burst, and many VMs that do not talk to one another send them calls. */
+/** Simulates a burst of calls in which the backend servers of one data centre are cold, and many VMs send them calls without coordination. */
 import {type SharedServer} from '../../src/common/calls/rate-quota.ts';
 import {type Instant, type RandomSource} from '../../src/common/model/units.ts';
 import {seededRandom} from '../../src/common/random/random.ts';
 import {type WarmUpAdmission} from './admissions.ts';
 
 const warmUpMilliseconds = 3000;
-const usualMilliseconds = 130;
+const warmCallMilliseconds = 130;
 const coldSlowness = 2;
-const slots = 2;
-/** Calls that one backend server holds beyond its slots. */
-const queueRoom = 2;
+const slotsPerServer = 2;
+/** Maximum number of calls queued at one backend server. */
+const maxQueuedCalls = 2;
 const dataCentres = ['north', 'middle', 'south'] as const;
-const probesACall = 4;
-/** Age of a report when it is used. */
-const reportAge = 20;
-/** Load against the slots of the data centres that are warm, in a burst. */
+const probesPerCall = 4;
+/** Age up to which a load report is reused. */
+const maxReportAgeMilliseconds = 20;
+/** Load during the burst, relative to the slots of the warm data centres. */
 const burstLoad = 1.1;
-const settledAt = 4000;
+const burstStartMilliseconds = 4000;
 
-/** What disturbs the VMs' knowledge of one another. */
+/** Deviations in the VMs' membership lists. */
 export type Disturbance = {
-	/** Part of the VMs that know a random half of the others. */
-	readonly halfSighted: number;
-	/** Part of the VMs that start when the burst begins, and know nobody for a second. */
-	readonly started: number;
+	/** Fraction of the VMs whose lists contain a random half of the others. */
+	readonly partialViewFraction: number;
+	/** Fraction of the VMs that start when the burst begins, with lists that contain only themselves for one second. */
+	readonly lateStartFraction: number;
 };
 
-/** What came of one burst. */
+/** Figures of one burst. */
 export type WarmUpFigures = {
-	/** Most attempts that one cold backend server got within a second. */
-	readonly worstSecond: number;
-	/** Attempts a second that a cold backend server got in the mean. */
+	/** Maximum number of attempts at one cold backend server within one second. */
+	readonly maxAttemptsInSecond: number;
+	/** Mean number of attempts per second at a cold backend server. */
 	readonly meanRate: number;
-	/** Part of the calls that found no place. */
+	/** Fraction of the calls for which no backend server was available. */
 	readonly refused: number;
 };
 
-type Server = SharedServer & {readonly isCold: boolean; ends: Instant[]; readonly starts: Instant[]; seenLoad: number; seenAt: Instant};
+type Server = SharedServer & {readonly isCold: boolean; ends: Instant[]; readonly starts: Instant[]; reportedLoad: number; reportedAt: Instant};
 type Vm = {readonly name: string; readonly dataCentre: string; readonly admission: WarmUpAdmission};
 
-/** One burst of `vmCount` VMs on `serverCount` backend servers, a third of them cold. */
+/** One burst through `vmCount` VMs to `serverCount` backend servers, a third of which are cold. */
 export class WarmUpRun {
 	private readonly _random: RandomSource;
 	private readonly _servers: Server[];
@@ -47,53 +47,53 @@
 	private _refused = 0;
 	private _calls = 0;
 
-	constructor(vmCount: number, serverCount: number, seed: number, admissionOf: (random: RandomSource) => WarmUpAdmission) {
+	constructor(vmCount: number, serverCount: number, seed: number, makeAdmission: (random: RandomSource) => WarmUpAdmission) {
 		this._random = seededRandom(seed);
 		this._servers = Array.from({length: serverCount}, (_, index) => ({
-			identity: `s${index}`, dataCentre: dataCentres[index % dataCentres.length]!, isCold: index % dataCentres.length === 0, ends: [], starts: [], seenLoad: 0, seenAt: -Infinity,
+			identity: `s${index}`, dataCentre: dataCentres[index % dataCentres.length]!, isCold: index % dataCentres.length === 0, ends: [], starts: [], reportedLoad: 0, reportedAt: -Infinity,
 		}));
 		this._vms = Array.from({length: vmCount}, (_, index) => ({
-			name: `10.0.0.${index}`, dataCentre: dataCentres[index % dataCentres.length]!, admission: admissionOf(this._random),
+			name: `10.0.0.${index}`, dataCentre: dataCentres[index % dataCentres.length]!, admission: makeAdmission(this._random),
 		}));
 	}
 
-	run({halfSighted, started}: Disturbance): WarmUpFigures {
-		const late: Vm[] = [];
+	run({partialViewFraction, lateStartFraction}: Disturbance): WarmUpFigures {
+		const lateVms: Vm[] = [];
 		for (const [index, vm] of this._vms.entries()) {
-			const place = index / this._vms.length;
-			if (place < started) {
-				late.push(vm);
-				this._tell(vm, () => false, settledAt);
+			const position = index / this._vms.length;
+			if (position < lateStartFraction) {
+				lateVms.push(vm);
+				this._setMembers(vm, () => false, burstStartMilliseconds);
 			} else {
-				this._tell(vm, place < started + halfSighted ? () => this._random.next() < 0.5 : () => true, 0);
+				this._setMembers(vm, position < lateStartFraction + partialViewFraction ? () => this._random.next() < 0.5 : () => true, 0);
 			}
 		}
 
-		const warmSlots = slots * this._servers.filter(server => !server.isCold).length;
-		const callsAMillisecond = burstLoad * warmSlots / usualMilliseconds;
-		for (let now = settledAt; now < settledAt + warmUpMilliseconds;) {
-			now += -Math.log(1 - this._random.next()) / callsAMillisecond;
-			if (now >= settledAt + 1000) {
-				for (const vm of late.splice(0)) {
-					this._tell(vm, () => true, now);
+		const warmSlots = slotsPerServer * this._servers.filter(server => !server.isCold).length;
+		const callsPerMillisecond = burstLoad * warmSlots / warmCallMilliseconds;
+		for (let now = burstStartMilliseconds; now < burstStartMilliseconds + warmUpMilliseconds;) {
+			now += -Math.log(1 - this._random.next()) / callsPerMillisecond;
+			if (now >= burstStartMilliseconds + 1000) {
+				for (const vm of lateVms.splice(0)) {
+					this._setMembers(vm, () => true, now);
 				}
 			}
 
-			this._call(this._vms[Math.floor(this._random.next() * this._vms.length)]!, now);
+			this._placeCall(this._vms[Math.floor(this._random.next() * this._vms.length)]!, now);
 		}
 
 		const cold = this._servers.filter(server => server.isCold);
 		return {
-			worstSecond: Math.max(...cold.map(server => mostWithinSecond(server.starts))),
+			maxAttemptsInSecond: Math.max(...cold.map(server => maxCountInSecond(server.starts))),
 			meanRate: cold.reduce((sum, server) => sum + server.starts.length, 0) / cold.length / (warmUpMilliseconds / 1000),
 			refused: this._refused / this._calls,
 		};
 	}
 
-	private _tell(vm: Vm, knows: (other: Vm) => boolean, now: Instant): void {
+	private _setMembers(vm: Vm, isInView: (other: Vm) => boolean, now: Instant): void {
 		const byDataCentre = new Map<string, string[]>();
 		for (const other of this._vms) {
-			if (other === vm || knows(other)) {
+			if (other === vm || isInView(other)) {
 				byDataCentre.set(other.dataCentre, [...byDataCentre.get(other.dataCentre) ?? [], other.name]);
 			}
 		}
@@ -101,51 +101,51 @@
 		vm.admission.setMembers({own: vm.name, byDataCentre}, now);
 	}
 
-	private _call(vm: Vm, now: Instant): void {
+	private _placeCall(vm: Vm, now: Instant): void {
 		this._calls++;
-		vm.admission.noteCall(now);
-		const able = this._servers.filter(one => !one.isCold || vm.admission.mayStart(one, now));
-		const server = this._place(able.filter(one => one.dataCentre === vm.dataCentre), now) ?? this._place(able, now);
+		vm.admission.recordCall(now);
+		const candidates = this._servers.filter(one => !one.isCold || vm.admission.mayStart(one, now));
+		const server = this._chooseServer(candidates.filter(one => one.dataCentre === vm.dataCentre), now) ?? this._chooseServer(candidates, now);
 		if (server === undefined) {
 			this._refused++;
 			return;
 		}
 
 		if (server.isCold) {
-			vm.admission.noteStart(server, now);
+			vm.admission.recordStart(server, now);
 		}
 
 		server.starts.push(now);
-		server.ends.push(now + (usualMilliseconds * (server.isCold ? coldSlowness : 1)));
+		server.ends.push(now + (warmCallMilliseconds * (server.isCold ? coldSlowness : 1)));
 	}
 
-	private _place(servers: readonly Server[], now: Instant): Server | undefined {
-		const probed = servers.length === 0 ? [] : Array.from({length: probesACall}, () => servers[Math.floor(this._random.next() * servers.length)]!);
-		return probed.filter(server => this._loadOf(server, now) < slots + queueRoom).toSorted((one, other) => one.seenLoad - other.seenLoad)[0];
+	private _chooseServer(servers: readonly Server[], now: Instant): Server | undefined {
+		const probed = servers.length === 0 ? [] : Array.from({length: probesPerCall}, () => servers[Math.floor(this._random.next() * servers.length)]!);
+		return probed.filter(server => this._loadOf(server, now) < slotsPerServer + maxQueuedCalls).toSorted((one, other) => one.reportedLoad - other.reportedLoad)[0];
 	}
 
-	/** Reports are shared by the calls of a moment, so that several choose by the same one. */
+	/** Returns the load in the latest report. Calls within 20 ms use the same report. */
 	private _loadOf(server: Server, now: Instant): number {
-		if (now - server.seenAt > reportAge) {
+		if (now - server.reportedAt > maxReportAgeMilliseconds) {
 			server.ends = server.ends.filter(end => end > now);
-			server.seenLoad = server.ends.length;
-			server.seenAt = now;
+			server.reportedLoad = server.ends.length;
+			server.reportedAt = now;
 		}
 
-		return server.seenLoad;
+		return server.reportedLoad;
 	}
 }
 
-function mostWithinSecond(starts: readonly Instant[]): number {
-	let most = 0;
+function maxCountInSecond(starts: readonly Instant[]): number {
+	let maxCount = 0;
 	let first = 0;
 	for (const [index, at] of starts.entries()) {
 		while (at - starts[first]! >= 1000) {
 			first++;
 		}
 
-		most = Math.max(most, index - first + 1);
+		maxCount = Math.max(maxCount, index - first + 1);
 	}
 
-	return most;
+	return maxCount;
 }
