--- a/benchmark/capacity/call-slopes.ts
+++ b/benchmark/capacity/call-slopes.ts
@@ -1,24 +1,24 @@
-/** Slopes of the call engine: state, configuring and the decision on one call. */
+/** Slopes of the call engine: state, configuration changes, and the decisions on one call. */
 import {performance} from 'node:perf_hooks';
 import {DefaultCallEngine} from '../../src/common/calls/call-engine.ts';
 import {type CallConfiguration, type CallEffect} from '../../src/common/calls/types.ts';
 import {seededRandom} from '../../src/common/random/random.ts';
-import {heldBytes} from './heap.ts';
+import {retainedBytes} from './heap.ts';
 import {
 	backendServerOf, identityOf, serviceOf, target,
 } from './sizes.ts';
 import {fitSlope} from './slope.ts';
 import {type Point, type Slope} from './types.ts';
 
-const decisionCalls = 20_000;
-const inFlight = 32;
+const measuredCalls = 20_000;
+const callsInFlight = 32;
 const callMilliseconds = 2;
-const configurations = 5;
+const configurationChanges = 5;
 const loadReads = 20;
 const idleMilliseconds = 5000;
-const callsToActivate = 10;
+const callsPerActiveService = 10;
 
-function configurationOf(version: number, services: number, backendServers: number): CallConfiguration {
+function makeConfiguration(version: number, services: number, backendServers: number): CallConfiguration {
 	return {
 		version,
 		services: new Map(Array.from({length: services}, (_, index) => [`service-${index}`, serviceOf(index)])),
@@ -27,7 +27,7 @@
 	};
 }
 
-function engineOf(configuration: CallConfiguration): DefaultCallEngine {
+function makeEngine(configuration: CallConfiguration): DefaultCallEngine {
 	const engine = new DefaultCallEngine({random: seededRandom(1), settings: {dataCentre: 'dc-0'}});
 	engine.handle({type: 'configured', configuration}, 0);
 	engine.handle({
@@ -39,7 +39,7 @@
 	return engine;
 }
 
-/** A call from its arrival to its end, alone. */
+/** Runs one call from its arrival to its end, with no other call in flight. */
 function runOneCall(engine: DefaultCallEngine, callId: number, service: string): void {
 	const effects = engine.handle({
 		type: 'call-arrived',
@@ -60,10 +60,10 @@
 	engine.handle({type: 'attempt-done', attemptId}, callId + 1);
 }
 
-/** Runs calls of one service, a fixed number in flight; the value is processor microseconds a call. */
+/** Runs calls of one service with a fixed number in flight, and returns processor microseconds per call. */
 function callMicroseconds(engine: DefaultCallEngine): number {
 	const started: number[] = [];
-	const take = (effects: readonly CallEffect[]): void => {
+	const recordStarts = (effects: readonly CallEffect[]): void => {
 		for (const effect of effects) {
 			if (effect.type === 'start-attempt') {
 				started.push(effect.attemptId);
@@ -75,18 +75,18 @@
 		inFlight: 2, queued: 0, slots: 6, instance: 'a', isLeaving: false,
 	};
 	const startedAt = performance.now();
-	for (let call = 1; call <= decisionCalls; call++) {
-		const now = call * callMilliseconds / inFlight;
-		if (started.length >= inFlight) {
+	for (let call = 1; call <= measuredCalls; call++) {
+		const now = call * callMilliseconds / callsInFlight;
+		if (started.length >= callsInFlight) {
 			const attemptId = started.shift()!;
-			take(engine.handle({type: 'attempt-sent', attemptId}, now));
-			take(engine.handle({
+			recordStarts(engine.handle({type: 'attempt-sent', attemptId}, now));
+			recordStarts(engine.handle({
 				type: 'attempt-head', attemptId, status: 200, report, isDeclaredNotRun: false, validator: undefined,
 			}, now));
-			take(engine.handle({type: 'attempt-done', attemptId}, now));
+			recordStarts(engine.handle({type: 'attempt-done', attemptId}, now));
 		}
 
-		take(engine.handle({
+		recordStarts(engine.handle({
 			type: 'call-arrived',
 			request: {
 				callId: call,
@@ -102,14 +102,14 @@
 		}, now));
 		const wakeUp = engine.nextWakeUp();
 		if (wakeUp !== undefined && wakeUp <= now) {
-			take(engine.handle({type: 'tick'}, now));
+			recordStarts(engine.handle({type: 'tick'}, now));
 		}
 	}
 
-	return (performance.now() - startedAt) * 1000 / decisionCalls;
+	return (performance.now() - startedAt) * 1000 / measuredCalls;
 }
 
-/** Processor time of an engine without calls and without a share to measure with, as a share of a core. */
+/** Processor time of an engine without calls and without load probes, as a fraction of one core. */
 function idleCoreShare(engine: DefaultCallEngine): number {
 	let now = 0;
 	const startedAt = performance.now();
@@ -121,14 +121,14 @@
 	return (performance.now() - startedAt) / idleMilliseconds;
 }
 
-/** State of services that have been called, each by a few calls: histograms, queues, classes of calls. */
+/** Additional state of services after 10 calls each: histograms, queues, call classes. */
 export function slopeOfActiveServices(sizes: readonly number[]): Slope {
 	const points = sizes.map((services): Point => {
-		const configuration = configurationOf(1, services, services);
-		const unused = heldBytes(() => engineOf(configuration));
-		const used = heldBytes(() => {
-			const engine = engineOf(configuration);
-			for (let call = 1; call <= services * callsToActivate; call++) {
+		const configuration = makeConfiguration(1, services, services);
+		const unused = retainedBytes(() => makeEngine(configuration));
+		const used = retainedBytes(() => {
+			const engine = makeEngine(configuration);
+			for (let call = 1; call <= services * callsPerActiveService; call++) {
 				runOneCall(engine, call, `service-${call % services}`);
 			}
 
@@ -139,47 +139,47 @@
 	return fitSlope({name: 'calls.activeServiceBytes', against: 'services called', unit: 'bytes'}, points);
 }
 
-/** Cost of all decisions on one call as the backend servers to choose from grow. */
-export function slopeOfDecisions(choices: readonly number[]): Slope {
-	const points = choices.map((count): Point => {
-		const measure = (): number => callMicroseconds(engineOf(configurationOf(1, 1, count)));
-		// The first run is for the compiler.
+/** Cost of all decisions on one call, against the number of candidate backend servers. */
+export function slopeOfDecisions(candidateCounts: readonly number[]): Slope {
+	const points = candidateCounts.map((count): Point => {
+		const measure = (): number => callMicroseconds(makeEngine(makeConfiguration(1, 1, count)));
+		// Warm-up run for the JIT compiler.
 		measure();
 		return {size: count, value: measure()};
 	});
 	return fitSlope({name: 'calls.decisionMicroseconds', against: 'backend servers of the service', unit: 'µs'}, points);
 }
 
-/** State and cost of a change at a number of backend servers, in the proportion of the target. */
+/** State, cost of a configuration change, cost of reading the load, and idle cost. Services and backend servers have the proportion of the target. */
 export function slopesOfState(sizes: readonly number[]): Slope[] {
-	const memory: Point[] = [];
-	const configure: Point[] = [];
-	const load: Point[] = [];
-	const idle: Point[] = [];
+	const heapBytes: Point[] = [];
+	const configureMilliseconds: Point[] = [];
+	const loadMilliseconds: Point[] = [];
+	const idleShares: Point[] = [];
 	for (const backendServers of sizes) {
 		const services = Math.max(1, Math.round(backendServers * target.services / target.backendServers));
-		const configuration = configurationOf(1, services, backendServers);
-		const {made, bytes} = heldBytes(() => engineOf(configuration));
-		memory.push({size: backendServers, value: bytes});
+		const configuration = makeConfiguration(1, services, backendServers);
+		const {made, bytes} = retainedBytes(() => makeEngine(configuration));
+		heapBytes.push({size: backendServers, value: bytes});
 		let startedAt = performance.now();
-		for (let version = 2; version < 2 + configurations; version++) {
+		for (let version = 2; version < 2 + configurationChanges; version++) {
 			made.handle({type: 'configured', configuration: {...configuration, version}}, version);
 		}
 
-		configure.push({size: backendServers, value: (performance.now() - startedAt) / configurations});
+		configureMilliseconds.push({size: backendServers, value: (performance.now() - startedAt) / configurationChanges});
 		startedAt = performance.now();
 		for (let read = 0; read < loadReads; read++) {
 			made.load();
 		}
 
-		load.push({size: backendServers, value: (performance.now() - startedAt) / loadReads});
-		idle.push({size: backendServers, value: idleCoreShare(engineOf(configuration))});
+		loadMilliseconds.push({size: backendServers, value: (performance.now() - startedAt) / loadReads});
+		idleShares.push({size: backendServers, value: idleCoreShare(makeEngine(configuration))});
 	}
 
 	return [
-		fitSlope({name: 'calls.stateBytes', against: 'backend servers', unit: 'bytes'}, memory),
-		fitSlope({name: 'calls.configureMilliseconds', against: 'backend servers', unit: 'ms'}, configure),
-		fitSlope({name: 'calls.loadMilliseconds', against: 'backend servers', unit: 'ms'}, load),
-		fitSlope({name: 'calls.idleCoreShare', against: 'backend servers', unit: 'cores'}, idle),
+		fitSlope({name: 'calls.stateBytes', against: 'backend servers', unit: 'bytes'}, heapBytes),
+		fitSlope({name: 'calls.configureMilliseconds', against: 'backend servers', unit: 'ms'}, configureMilliseconds),
+		fitSlope({name: 'calls.loadMilliseconds', against: 'backend servers', unit: 'ms'}, loadMilliseconds),
+		fitSlope({name: 'calls.idleCoreShare', against: 'backend servers', unit: 'cores'}, idleShares),
 	];
 }
--- a/benchmark/capacity/first-configuration.ts
+++ b/benchmark/capacity/first-configuration.ts
@@ -1,12 +1,12 @@
-/** The platform's service as it stands after the first accepted change: a snapshot in shards, and the head. */
+/** Contents of the platform's service after the first accepted change: a snapshot in shards, and the head. */
 import {
 	encodeHead, encodeShards, headKey, shardPrefix,
 } from '../../src/common/fleet/configuration/head.ts';
 import {type StoredResource} from '../../src/common/model/resources.ts';
 import {type KeyValueStore} from '../../src/stand-ins/platform/key-value-store.ts';
 
-/** Writes version 1, shards before the head that points to them. */
-export function storeFirstConfiguration(store: KeyValueStore, resources: readonly StoredResource[]): void {
+/** Stores version 1. The shards are written before the head that refers to them. */
+export function storeInitialConfiguration(store: KeyValueStore, resources: readonly StoredResource[]): void {
 	const shards = encodeShards(resources).map((value, index) => {
 		const key = `${shardPrefix}1-${index}`;
 		store.handle({
--- a/benchmark/capacity/main.ts
+++ b/benchmark/capacity/main.ts
@@ -1,4 +1,8 @@
-/** How control grows: `node --import=tsx benchmark/capacity/main.ts [--json FILE]`. No sockets, virtual time. */
+/**
+ * Benchmark `capacity`: how the costs of control grow with the number of VMs and resources. Engines run in virtual time
+ * without sockets; only the transport between VMs is measured over loopback.
+ * `node --import=tsx benchmark/capacity/main.ts [--json FILE]`
+ */
 import {writeFileSync} from 'node:fs';
 import process from 'node:process';
 import sade from 'sade';
@@ -14,7 +18,7 @@
 const resourceSizes = [190, 1900, 19_000];
 const serviceSizes = [11, 110, 1100];
 const fleetSizes = [16, 64, 250, 600];
-const choiceSizes = [6, 17, 64, 256];
+const candidateCounts = [6, 17, 64, 256];
 
 function slopeTable(slopes: readonly Slope[]): string {
 	return textTable(['measured', 'against', 'unit', 'fixed', 'slope', 'points'], slopes.map(slope => [
@@ -45,24 +49,24 @@
 async function main(options: Options): Promise<void> {
 	const hashes = await loadHashes();
 	const sizes = options.vms.split(',').map(Number);
-	const fleet = slopesAgainstVms(sizes, options.seconds, hashes.hash32);
-	console.log(`${stateTable(fleet.steadyStates)}\n`);
+	const vmSlopes = slopesAgainstVms(sizes, options.seconds, hashes.hash32);
+	console.log(`${stateTable(vmSlopes.steadyStates)}\n`);
 	const slopes = [
-		...fleet.slopes,
+		...vmSlopes.slopes,
 		slopeOfChanges(fleetSizes, hashes.hash32),
 		...slopesAgainstResources(resourceSizes, hashes.hash32),
 		...slopesOfState(resourceSizes),
 		slopeOfActiveServices(serviceSizes),
-		slopeOfDecisions(choiceSizes),
+		slopeOfDecisions(candidateCounts),
 	];
 	console.log(slopeTable(slopes));
 	const transport = await measureTransport() ?? {overheadBytesPerMessage: 0, processorMicrosecondsPerMessage: 0};
-	console.log(`\ngRPC adds ${transport.overheadBytesPerMessage.toFixed(0)} bytes and ${transport.processorMicrosecondsPerMessage.toFixed(0)} µs of processor time to a message, at one end`);
+	console.log(`\ngRPC adds ${transport.overheadBytesPerMessage.toFixed(0)} bytes to a message and ${transport.processorMicrosecondsPerMessage.toFixed(0)} µs of processor time at each end`);
 	const results: CapacityResults = {
 		command: `node --import=tsx benchmark/capacity/main.ts --vms ${options.vms} --seconds ${options.seconds}`,
 		node: process.version,
 		slopes,
-		steadyStates: fleet.steadyStates,
+		steadyStates: vmSlopes.steadyStates,
 		transport,
 	};
 	if (options.json !== undefined) {
--- a/benchmark/capacity/observed-vm.ts
+++ b/benchmark/capacity/observed-vm.ts
@@ -1,6 +1,6 @@
 /**
- * One VM's fleet engine in virtual time, with as many made-up peers as wanted and the platform's service
- * in memory. Processor time is taken round the engine's own work and round the codec of its messages.
+ * Runs the fleet engine of one VM in virtual time, with simulated peers and an in-memory store of the platform's service.
+ * Processor time is measured separately for the engine and for the message codec.
  */
 import {Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
@@ -16,38 +16,38 @@
 import {
 	backendServerOf, dataCentreOf, daySeconds, identityOf, target,
 } from './sizes.ts';
-import {storeFirstConfiguration} from './first-configuration.ts';
+import {storeInitialConfiguration} from './first-configuration.ts';
 import {type SteadyState} from './types.ts';
 
-/** What surrounds the VM. */
-export type Surroundings = {
+/** Fleet and configuration around the observed VM. */
+export type VmEnvironment = {
 	readonly vms: number;
 	readonly resources: readonly StoredResource[];
-	/** Whether it is one of those that watch the platform's service. */
+	/** Whether the VM is one of those that watch the platform's service. */
 	readonly isWatcher: boolean;
 	readonly hash: HashFunction;
 };
 
-const probeSeconds = 0.5;
-const loadSeconds = 0.5;
-const listSeconds = 5;
-const answerSeconds = 0.002;
-/** Copies of each change that reach a VM: every VM pushes to 4. */
-const changeCopies = 4;
-const memberCharacters = 1200;
-const membersInMessage = 256;
+const pingIntervalSeconds = 0.5;
+const loadIntervalSeconds = 0.5;
+const vmListIntervalSeconds = 5;
+const replySeconds = 0.002;
+/** Number of copies of each change that a VM receives: every VM sends a change to 4 peers. */
+const copiesPerChange = 4;
+const maxMemberCharacters = 1200;
+const membersPerMessage = 256;
 const deliver = loadService('peers.proto', 'jaydale.peers.v1.Peers').Deliver!;
 
-type Due = {readonly at: number; readonly run: () => void};
+type ScheduledAction = {readonly at: number; readonly run: () => void};
 
-/** Made, joined and configured by its constructor; `run` lets time pass. */
+/** The constructor starts and configures the VM and joins it to the fleet; `run` advances the virtual time. */
 export class ObservedVm {
 	readonly engine: FleetCoordinator;
-	private readonly _surroundings: Surroundings;
+	private readonly _environment: VmEnvironment;
 	private readonly _random = seededRandom(7);
 	private readonly _store = new KeyValueStore();
 	private readonly _peers: MemberRecord[];
-	private readonly _due: Due[] = [];
+	private readonly _scheduled: ScheduledAction[] = [];
 	private _now = 0;
 	private _version = 1;
 	private _engineMilliseconds = 0;
@@ -57,40 +57,40 @@
 	private _messagesIn = 0;
 	private _bytesIn = 0;
 	private _storeCalls = 0;
-	private _rumours: number[] = [];
-
-	constructor(surroundings: Surroundings) {
-		this._surroundings = surroundings;
-		// A VM alone in its data centre is a watcher; one among others is none, but for the chance of the hash.
-		const own = surroundings.isWatcher ? 'dc-own' : 'dc-0';
-		this._peers = Array.from({length: surroundings.vms - 1}, (_, index) => this._peer(index));
-		storeFirstConfiguration(this._store, surroundings.resources);
+	private _pendingMemberUpdates: number[] = [];
+
+	constructor(environment: VmEnvironment) {
+		this._environment = environment;
+		// A VM that is alone in its data centre is a watcher. A VM among others is usually none; the hash decides.
+		const ownDataCentre = environment.isWatcher ? 'dc-own' : 'dc-0';
+		this._peers = Array.from({length: environment.vms - 1}, (_, index) => this._makePeer(index));
+		storeInitialConfiguration(this._store, environment.resources);
 		this.engine = new FleetCoordinator({
 			identity: identityOf('own', 0),
 			peerAddress: '10.250.0.1:7003',
 			callAddress: '10.250.0.1:7001',
-			dataCentre: own,
+			dataCentre: ownDataCentre,
 			seeds: [],
 			defaultPeerPort: 7003,
-			shareSlots: Math.ceil(surroundings.vms * 1.5),
+			shareSlots: Math.ceil(environment.vms * 1.5),
 			shareLeaseMilliseconds: 15_000,
 			addressTtlMilliseconds: 5000,
 			minSubsetSize: 16,
-		}, seededRandom(3), surroundings.hash);
-		this._feed({type: 'started'});
+		}, seededRandom(3), environment.hash);
+		this._handle({type: 'started'});
 		this._join();
 	}
 
-	/** Lets seconds pass and tells what happened in them. */
+	/** Settles for 5 s, then runs for `seconds`, all in virtual time, and returns the figures of the second period. */
 	run(seconds: number): SteadyState {
 		this._runUntil(this._now + 5000);
 		this._resetCounts();
 		const until = this._now + (seconds * 1000);
-		this._schedule();
+		this._scheduleTraffic();
 		this._runUntil(until);
 		const status = this.engine.status(this._now);
 		return {
-			vms: this._surroundings.vms,
+			vms: this._environment.vms,
 			isWatcher: status.isWatchingStore,
 			messagesOutPerSecond: this._messagesOut / seconds,
 			bytesOutPerSecond: this._bytesOut / seconds,
@@ -99,12 +99,12 @@
 			engineCoreShare: this._engineMilliseconds / 1000 / seconds,
 			codecCoreShare: this._codecMilliseconds / 1000 / seconds,
 			storeCallsPerSecond: this._storeCalls / seconds,
-			isKeepingUp: this._rumours.length < this._peers.length,
+			isKeepingUp: this._pendingMemberUpdates.length < this._peers.length,
 			membersBehind: status.members.filter(({configurationVersion}) => configurationVersion < this._version).length,
 		};
 	}
 
-	/** Processor microseconds of one answer to a caller. */
+	/** Processor microseconds of the engine for one address list requested by a caller. */
 	addressMicroseconds(answers: number): number {
 		const startedAt = performance.now();
 		for (let index = 0; index < answers; index++) {
@@ -114,7 +114,7 @@
 		return (performance.now() - startedAt) * 1000 / answers;
 	}
 
-	/** Processor milliseconds to bring one change into force, all parts of the fleet engine. */
+	/** Processor milliseconds that the whole fleet engine spends on bringing one change into force. */
 	changeMilliseconds(changes: number): number {
 		this._runUntil(this._now + 5000);
 		this._resetCounts();
@@ -125,7 +125,7 @@
 		return this._engineMilliseconds / changes;
 	}
 
-	private _peer(index: number): MemberRecord {
+	private _makePeer(index: number): MemberRecord {
 		return {
 			identity: identityOf('vm', index),
 			peerAddress: `10.251.${Math.floor(index / 250)}.${index % 250}:7003`,
@@ -141,8 +141,8 @@
 	}
 
 	private _join(): void {
-		for (let start = 0; start < this._peers.length; start += membersInMessage) {
-			const members = this._peers.slice(start, start + membersInMessage).map(record => ({record, verdict: 'live' as const}));
+		for (let start = 0; start < this._peers.length; start += membersPerMessage) {
+			const members = this._peers.slice(start, start + membersPerMessage).map(record => ({record, verdict: 'live' as const}));
 			this._receive({...this._message(this._peers[0]!, {type: 'members'}), members});
 		}
 	}
@@ -153,31 +153,31 @@
 		};
 	}
 
-	private _schedule(): void {
+	private _scheduleTraffic(): void {
 		const every = (seconds: number, run: () => void): void => {
-			const again = (): void => {
+			const runAndReschedule = (): void => {
 				run();
-				this._after(seconds * 1000 * (0.5 + this._random.next()), again);
+				this._after(seconds * 1000 * (0.5 + this._random.next()), runAndReschedule);
 			};
 
-			this._after(seconds * 1000 * this._random.next(), again);
+			this._after(seconds * 1000 * this._random.next(), runAndReschedule);
 		};
 
-		every(probeSeconds, () => {
-			this._receive({...this._message(this._randomPeer(), {type: 'ping', nonce: 1}), members: this._takeRumours()});
+		every(pingIntervalSeconds, () => {
+			this._receive({...this._message(this._randomPeer(), {type: 'ping', nonce: 1}), members: this._takeMemberUpdates()});
 		});
-		every(loadSeconds, () => {
-			this._feed({type: 'own-load', utilisation: this._random.next(), services: new Map()});
+		every(loadIntervalSeconds, () => {
+			this._handle({type: 'own-load', utilisation: this._random.next(), services: new Map()});
 		});
-		every(listSeconds, () => {
-			this._feed({type: 'vm-list', vms: this._peers.map(({peerAddress, dataCentre}) => ({address: peerAddress, dataCentre, state: 'live' as const}))});
+		every(vmListIntervalSeconds, () => {
+			this._handle({type: 'vm-list', vms: this._peers.map(({peerAddress, dataCentre}) => ({address: peerAddress, dataCentre, state: 'live' as const}))});
 		});
 		every(daySeconds / target.changesPerDay, () => {
 			this._change();
 		});
 	}
 
-	/** A change reaches this VM from several peers; afterwards every VM's record carries the new version. */
+	/** Delivers a change to the VM from several peers. Afterwards the records of all peers contain the new version. */
 	private _change(): void {
 		this._version++;
 		const resource = backendServerOf(this._version % target.backendServers, target.services);
@@ -195,7 +195,7 @@
 				},
 			}],
 		};
-		for (let copy = 0; copy < Math.min(changeCopies, this._peers.length); copy++) {
+		for (let copy = 0; copy < Math.min(copiesPerChange, this._peers.length); copy++) {
 			const peer = this._randomPeer();
 			peer.configurationVersion = this._version;
 			peer.sequence++;
@@ -206,17 +206,17 @@
 			if (peer.configurationVersion < this._version) {
 				peer.configurationVersion = this._version;
 				peer.sequence++;
-				this._rumours.push(index);
+				this._pendingMemberUpdates.push(index);
 			}
 		}
 
-		this._rumours = [...new Set(this._rumours)];
+		this._pendingMemberUpdates = [...new Set(this._pendingMemberUpdates)];
 	}
 
-	/** As many rumours as ride along with one message. */
-	private _takeRumours(): PeerMessage['members'] {
+	/** Removes and returns as many pending member updates as fit into one message. */
+	private _takeMemberUpdates(): PeerMessage['members'] {
 		const size = JSON.stringify({record: this._peers[0], verdict: 'live'}).length;
-		return this._rumours.splice(0, Math.floor(memberCharacters / size)).map(index => ({record: {...this._peers[index]!}, verdict: 'live' as const}));
+		return this._pendingMemberUpdates.splice(0, Math.floor(maxMemberCharacters / size)).map(index => ({record: {...this._peers[index]!}, verdict: 'live' as const}));
 	}
 
 	private _randomPeer(): MemberRecord {
@@ -224,13 +224,13 @@
 	}
 
 	private _after(milliseconds: number, run: () => void): void {
-		this._due.push({at: this._now + milliseconds, run});
+		this._scheduled.push({at: this._now + milliseconds, run});
 	}
 
-	private _firstDue(): Due | undefined {
-		let first: Due | undefined;
-		for (const due of this._due) {
-			first = first === undefined || due.at < first.at ? due : first;
+	private _earliestScheduled(): ScheduledAction | undefined {
+		let first: ScheduledAction | undefined;
+		for (const action of this._scheduled) {
+			first = first === undefined || action.at < first.at ? action : first;
 		}
 
 		return first;
@@ -238,7 +238,7 @@
 
 	private _runUntil(until: number): void {
 		for (;;) {
-			const next = this._firstDue();
+			const next = this._earliestScheduled();
 			const wakeUp = this.engine.nextWakeUp() ?? Infinity;
 			const at = Math.min(next?.at ?? Infinity, wakeUp);
 			if (at > until) {
@@ -247,26 +247,26 @@
 
 			this._now = Math.max(this._now, at);
 			if (next !== undefined && next.at <= wakeUp) {
-				this._due.splice(this._due.indexOf(next), 1);
+				this._scheduled.splice(this._scheduled.indexOf(next), 1);
 				next.run();
 			} else {
-				this._feed({type: 'tick'});
+				this._handle({type: 'tick'});
 			}
 		}
 
 		this._now = until;
 	}
 
-	private _feed(event: FleetEvent): void {
+	private _handle(event: FleetEvent): void {
 		const startedAt = performance.now();
 		const effects = this.engine.handle(event, this._now);
 		this._engineMilliseconds += performance.now() - startedAt;
 		for (const effect of effects) {
-			this._carryOut(effect);
+			this._execute(effect);
 		}
 	}
 
-	private _carryOut(effect: FleetEffect): void {
+	private _execute(effect: FleetEffect): void {
 		if (effect.type === 'store') {
 			this._storeCalls++;
 			this._answerStore(effect.requestId, effect.operation);
@@ -275,16 +275,16 @@
 		}
 	}
 
-	/** A watch waits for its whole time: changes come from peers here. */
+	/** A watch always ends at its timeout without entries, since the VM receives changes from its peers here. */
 	private _answerStore(requestId: number, operation: StoreOperation): void {
-		const wait = operation.type === 'watch' ? operation.milliseconds : answerSeconds * 1000;
-		this._after(wait, () => {
+		const delayMilliseconds = operation.type === 'watch' ? operation.milliseconds : replySeconds * 1000;
+		this._after(delayMilliseconds, () => {
 			const reply = operation.type === 'watch'
 				? {
 					type: 'changes' as const, entries: [], deleted: [], revision: this._store.revision,
 				}
 				: this._store.handle(operation, this._now)!;
-			this._feed({type: 'store-replied', requestId, reply});
+			this._handle({type: 'store-replied', requestId, reply});
 		});
 	}
 
@@ -296,8 +296,8 @@
 		this._bytesOut += bytes.length;
 		if (message.body.type === 'ping') {
 			const {nonce} = message.body;
-			this._after(answerSeconds * 1000, () => {
-				this._receive({...this._message(this._randomPeer(), {type: 'ping-answer', nonce}), members: this._takeRumours()});
+			this._after(replySeconds * 1000, () => {
+				this._receive({...this._message(this._randomPeer(), {type: 'ping-answer', nonce}), members: this._takeMemberUpdates()});
 			});
 		}
 	}
@@ -310,7 +310,7 @@
 		this._messagesIn++;
 		this._bytesIn += bytes.length;
 		if (decoded.isOk()) {
-			this._feed({type: 'peer-message', message: decoded.value});
+			this._handle({type: 'peer-message', message: decoded.value});
 		}
 	}
 
--- a/benchmark/capacity/sizes.ts
+++ b/benchmark/capacity/sizes.ts
@@ -1,22 +1,21 @@
-/** The sizes that are worked out for, and made-up resources of any size. */
+/** Target sizes of the capacity projection, and generated resources. */
 import {
 	type BackendServer, backendServerSchema, type Service, serviceSchema, type StoredResource,
 } from '../../src/common/model/resources.ts';
 
-/** The target, in about two years. */
+/** Projected sizes in about two years. */
 export const target = {
 	services: 1100, backendServers: 19_000, dataCentres: 15, changesPerDay: 20_000, callsPerSecond: 7_200_000,
 };
 
-/** Seconds of a day. */
 export const daySeconds = 86_400;
 
-/** 22 characters, as identities have, and different for each number. */
+/** Returns a unique identity of 22 characters, the length of real identities. */
 export function identityOf(kind: string, index: number): string {
 	return `${kind}${index}`.padEnd(22, '-').slice(0, 22);
 }
 
-/** `dc-0` to `dc-14`. */
+/** Assigns data centres `dc-0` to `dc-14` in turn. */
 export function dataCentreOf(index: number): string {
 	return `dc-${index % target.dataCentres}`;
 }
@@ -25,7 +24,7 @@
 	return serviceSchema.parse({kind: 'service', name: `service-${index}`});
 }
 
-/** Backend servers spread evenly over the services. */
+/** Returns a backend server; successive indices are spread evenly over the services. */
 export function backendServerOf(index: number, services: number): BackendServer {
 	return backendServerSchema.parse({
 		kind: 'backend-server',
@@ -37,7 +36,7 @@
 	});
 }
 
-/** Everything declared at a size, as the platform's service stores it. */
+/** All services and backend servers of a size, in the form in which the platform's service stores them. */
 export function storedResources(services: number, backendServers: number): StoredResource[] {
 	const metadata = (identity: string): StoredResource['metadata'] => ({
 		identity, createdAt: 1, version: 1, generation: 1,
--- a/benchmark/capacity/slope.ts
+++ b/benchmark/capacity/slope.ts
@@ -1,7 +1,7 @@
-/** Lines through measured points. */
+/** Linear regression of measured points. */
 import {type Point, type Slope} from './types.ts';
 
-/** Least squares; with all points at one size the line is flat. */
+/** Fits a line by least squares; its slope is 0 if all points have the same size. */
 export function fitSlope(description: Pick<Slope, 'name' | 'against' | 'unit'>, points: readonly Point[]): Slope {
 	const meanSize = points.reduce((sum, {size}) => sum + size, 0) / points.length;
 	const meanValue = points.reduce((sum, {value}) => sum + value, 0) / points.length;
--- a/benchmark/capacity/transport-cost.ts
+++ b/benchmark/capacity/transport-cost.ts
@@ -1,4 +1,4 @@
-/** What gRPC adds to a message between VMs: bytes on the wire and processor time, measured over loopback. */
+/** Measures over loopback what gRPC adds to a message between VMs: bytes on the wire and processor time. */
 import {connect, createServer} from 'node:net';
 import {performance} from 'node:perf_hooks';
 import process from 'node:process';
@@ -9,19 +9,19 @@
 import {plainCredentials} from '../../src/node/peers/peer-credentials.ts';
 import {identityOf} from './sizes.ts';
 
-/** Beyond the message's own bytes; both ends together. */
+/** Overhead of gRPC per message: bytes beyond the message's own, in both directions together. */
 export type TransportCost = {
 	readonly overheadBytesPerMessage: number;
-	/** Of one end: half of what both spend. */
+	/** Processor time of one end: half of the time of both. */
 	readonly processorMicrosecondsPerMessage: number;
 };
 
 const messageCount = 400;
 const warmUpCount = 200;
-const batch = 10;
+const batchSize = 10;
 const pauseMilliseconds = 5;
 
-/** Passes bytes on and counts them, both ways. */
+/** TCP relay that counts the bytes in both directions. */
 class CountingRelay extends Disposable {
 	bytes = 0;
 	private readonly _server = createServer(inner => {
@@ -84,8 +84,8 @@
 }
 
 async function sendAll(transport: GrpcPeerTransport, to: string, count: number): Promise<void> {
-	for (let sent = 0; sent < count; sent += batch) {
-		for (let index = 0; index < batch; index++) {
+	for (let sent = 0; sent < count; sent += batchSize) {
+		for (let index = 0; index < batchSize; index++) {
 			transport.send(to, ping());
 		}
 
@@ -95,7 +95,7 @@
 	await delay(pauseMilliseconds * 20);
 }
 
-/** Undefined if the listener could not be opened. */
+/** Measures the transport; undefined if the listener could not be opened. */
 export async function measureTransport(): Promise<TransportCost | undefined> {
 	const now = (): number => performance.now();
 	const receiver = new GrpcPeerTransport('127.0.0.1:0', plainCredentials(), now);
@@ -110,7 +110,7 @@
 	await sendAll(sender, to, warmUpCount);
 	const before = {wire: relay.bytes, payload: sender.traffic.bytesOut, processor: process.cpuUsage()};
 	await sendAll(sender, to, messageCount);
-	const spent = process.cpuUsage(before.processor);
+	const processorTime = process.cpuUsage(before.processor);
 	const wire = relay.bytes - before.wire;
 	const payload = sender.traffic.bytesOut - before.payload;
 	sender.dispose();
@@ -118,6 +118,6 @@
 	relay.dispose();
 	return {
 		overheadBytesPerMessage: (wire - payload) / messageCount,
-		processorMicrosecondsPerMessage: (spent.user + spent.system) / 2 / messageCount,
+		processorMicrosecondsPerMessage: (processorTime.user + processorTime.system) / 2 / messageCount,
 	};
 }
--- a/benchmark/capacity/types.ts
+++ b/benchmark/capacity/types.ts
@@ -1,4 +1,4 @@
-/** What the capacity benchmark finds, and what the page is made from. */
+/** Results of the capacity benchmark; the capacity page is generated from them. */
 import {z} from 'zod';
 
 /** One measured value at one size. */
@@ -7,9 +7,9 @@
 
 /** A line through the points: value = fixed + slope × size, by least squares. */
 export const slopeSchema = z.object({
-	/** Names it for the page, such as `fleet.bytesPerMember`. */
+	/** Identifier used by the capacity page, such as `membership.bytes`. */
 	name: z.string(),
-	/** What grows along the x axis. */
+	/** Quantity on the x axis. */
 	against: z.string(),
 	unit: z.string(),
 	fixed: z.number(),
@@ -18,7 +18,7 @@
 });
 export type Slope = z.infer<typeof slopeSchema>;
 
-/** What one VM of a fleet does in a steady state, in virtual time. */
+/** Traffic and processor use of one VM in a steady state, in virtual time. */
 export const steadyStateSchema = z.object({
 	vms: z.int(),
 	isWatcher: z.boolean(),
@@ -26,23 +26,24 @@
 	bytesOutPerSecond: z.number(),
 	messagesInPerSecond: z.number(),
 	bytesInPerSecond: z.number(),
-	/** Processor time of the engine and of the codec of messages, as a share of one core. */
+	/** Processor time of the engine and of the message codec, as a fraction of one core. */
 	engineCoreShare: z.number(),
 	codecCoreShare: z.number(),
 	storeCallsPerSecond: z.number(),
-	/** Most rumours about members that wait to be passed on at the end. */
+	/** Whether at the end fewer member updates wait to be sent than there are peers. */
 	isKeepingUp: z.boolean(),
+	/** Number of members whose known configuration version is older than the latest one at the end. */
 	membersBehind: z.number(),
 });
 export type SteadyState = z.infer<typeof steadyStateSchema>;
 
-/** Everything that one run found. */
+/** All results of one run. */
 export const capacityResultsSchema = z.object({
 	command: z.string(),
 	node: z.string(),
 	slopes: z.array(slopeSchema),
 	steadyStates: z.array(steadyStateSchema),
-	/** What gRPC adds to a message, at one end. */
+	/** Cost of gRPC per message: bytes on the wire, and processor time at one end. */
 	transport: z.object({overheadBytesPerMessage: z.number(), processorMicrosecondsPerMessage: z.number()}),
 });
 export type CapacityResults = z.infer<typeof capacityResultsSchema>;
--- a/benchmark/demand/demand-run.ts
+++ b/benchmark/demand/demand-run.ts
@@ -14,7 +14,8 @@
 const remoteLatencyMilliseconds: Milliseconds = 1.4;
 const callerLatencyMilliseconds: Milliseconds = 3;
 
-const slotsPerServer = 6;
+/** Slots of each backend server. */
+const slots = 6;
 
 /** Calls sent before this instant are not counted, since the engines start without load data. */
 const warmUpMilliseconds: Milliseconds = 1500;
@@ -98,10 +99,10 @@
 			for (let index = 0; index < service.servers; index++) {
 				const name = `${service.name}-${index}`;
 				const dataCentre = `hall-${index % this._scenario.dataCentres}`;
-				const server = new ModelServer(this._time, name, slotsPerServer, 0, this._scenario.behaviour);
+				const server = new ModelServer(this._time, name, slots, 0, this._scenario.behaviour);
 				this._servers.set(name, {
 					server, dataCentre, declared: backendServerSchema.parse({
-						kind: 'backend-server', name, service: service.name, address: '127.0.0.1', port: 10_000 + this._servers.size, dataCentre, slots: slotsPerServer, connectionLimit: 240,
+						kind: 'backend-server', name, service: service.name, address: '127.0.0.1', port: 10_000 + this._servers.size, dataCentre, slots, connectionLimit: 240,
 					}),
 				});
 				this._scheduleNeighbours(server, seededRandom((this._seed * 10_000) + this._servers.size));
