--- a/benchmark/control/control-fleet.ts
+++ b/benchmark/control/control-fleet.ts
@@ -1,4 +1,4 @@
-/** Real daemons as processes on loopback, with what the benchmark reads from them. */
+/** Fleet of real daemons that run as processes on loopback, with the counters that the benchmark reads from them. */
 import {createSocket} from 'node:dgram';
 import {
 	mkdtempSync, readFileSync, rmSync, writeFileSync,
@@ -19,26 +19,26 @@
 import {freePorts} from '../../src/stand-ins/free-ports.ts';
 import {standInClient} from '../../src/stand-ins/stand-in-client.ts';
 
-/** One daemon. */
+/** A VM: the process of its daemon, and a client of its operator interface. */
 export type ControlVm = {readonly plan: VmPlan; readonly program: ChildProgram; readonly operator: OperatorClient};
 
-/** Counters of a moment, summed over all VMs. */
+/** Counters at one instant, summed over all VMs unless stated otherwise. */
 export type ControlCounters = {
 	readonly at: number;
 	readonly peerBytes: number;
 	readonly peerMessages: number;
 	readonly storeCalls: number;
-	/** Processor time in milliseconds, of the VMs in the order of the fleet. */
+	/** Processor time of each VM in milliseconds, in the order of the fleet. */
 	readonly processorMilliseconds: readonly number[];
 };
 
 const updateSchema = z.object({version: z.int()});
 const vmsSchema = z.object({vms: z.array(z.object({state: z.string()}))});
-const startLimitMilliseconds = 60_000;
+const timeoutMilliseconds = 60_000;
 const pollMilliseconds = 50;
 
-/** Linux counts processor time in ticks of a hundredth of a second. */
-const tickMilliseconds = 10;
+/** Linux counts processor time in ticks of 10 ms. */
+const millisecondsPerTick = 10;
 const pageBytes = 4096;
 
 export class ControlFleet extends Disposable {
@@ -59,33 +59,33 @@
 			rmSync(this._folder, {recursive: true});
 		}));
 		this._statsd.on('message', datagram => {
-			this._takeMetrics(datagram.toString());
+			this._addMetrics(datagram.toString());
 		});
 	}
 
-	/** Starts the platform, backend servers and `count` daemons, and waits until they know one another. */
+	/** Starts the platform, backend servers and `count` daemons, and waits until every daemon lists all others as live. */
 	async start(count: number, backendServers: number): Promise<boolean> {
 		await new Promise<void>(resolve => {
 			this._statsd.bind(0, '127.0.0.1', resolve);
 		});
-		const platform = await this._program('src/stand-ins/platform/main', []);
+		const platform = await this._startProgram('src/stand-ins/platform/main', []);
 		this.platformPort = platform.listening;
-		const group = await this._program('src/stand-ins/backend-server/main', ['--count', String(backendServers)]);
+		const group = await this._startProgram('src/stand-ins/backend-server/main', ['--count', String(backendServers)]);
 		this.backendPorts.push(...group.ports ?? []);
-		// Some ports are spare, for replacements.
-		const spare = Math.max(2, Math.ceil(count / 4));
-		const ports = await freePorts((count + spare) * 3);
-		this._plans = Array.from({length: count + spare}, (_, index) => ({
+		// Spare ports are for daemons that replace others.
+		const sparePlans = Math.max(2, Math.ceil(count / 4));
+		const ports = await freePorts((count + sparePlans) * 3);
+		this._plans = Array.from({length: count + sparePlans}, (_, index) => ({
 			name: `vm-${index}`, dataCentre: `gdansk-${(index % 3) + 1}`, callPort: ports[index * 3]!, operatorPort: ports[(index * 3) + 1]!, peerPort: ports[(index * 3) + 2]!,
 		}));
 		for (let index = 0; index < count; index += 1) {
 			await this.startVm();
 		}
 
-		return this._waitFor(async () => this._knowOneAnother(count));
+		return this._waitFor(async () => this._haveAllMembers(count));
 	}
 
-	/** Starts the next daemon; the platform lists it at once. */
+	/** Starts another daemon. The platform lists it immediately. */
 	async startVm(): Promise<ControlVm> {
 		const plan = this._plans[this.vms.length]!;
 		const running = [...this.vms.map(vm => vm.plan), plan];
@@ -110,19 +110,19 @@
 		return vm;
 	}
 
-	/** Resolves with the version that a VM has in force once it is above `after`, and when; undefined = it did not say in time. */
+	/** Waits until a VM has a version above `after` in force; returns version and instant, or undefined after `milliseconds`. */
 	async nextVersion(vm: ControlVm, after: number, milliseconds: number): Promise<{readonly version: number; readonly at: number} | undefined> {
-		const update = await this.ask(vm, `/v1/watch?after=${after}&milliseconds=${milliseconds}`, updateSchema);
+		const update = await this.readJson(vm, `/v1/watch?after=${after}&milliseconds=${milliseconds}`, updateSchema);
 		return update && update.version > after ? {version: update.version, at: performance.now()} : undefined;
 	}
 
-	/** A change through a VM; the instant of its acceptance, or undefined. */
+	/** Sends a change to a VM; returns the new version and the instant of its acceptance, or undefined if it was not accepted. */
 	async change(vm: ControlVm, resources: readonly Resource[]): Promise<{readonly version: number; readonly at: number} | undefined> {
-		const accepted = await vm.operator.putAll(resources, 'benchmark', startLimitMilliseconds, () => vm.program.exitCode === undefined);
+		const accepted = await vm.operator.putAll(resources, 'benchmark', timeoutMilliseconds, () => vm.program.exitCode === undefined);
 		return accepted.isOk() ? {version: accepted.value, at: performance.now()} : undefined;
 	}
 
-	async ask<T>(vm: ControlVm, path: string, schema: z.ZodType<T>): Promise<T | undefined> {
+	async readJson<T>(vm: ControlVm, path: string, schema: z.ZodType<T>): Promise<T | undefined> {
 		try {
 			const {statusCode, body} = await this._agent.agent.request({
 				origin: `http://127.0.0.1:${vm.plan.operatorPort}`, path, method: 'GET', headers: {authorization: `Bearer ${exampleToken}`},
@@ -134,7 +134,7 @@
 		}
 	}
 
-	/** Waits until a version is in force on all running VMs. */
+	/** Waits until a version is in force on all running VMs; false on timeout. */
 	async waitInForce(version: number): Promise<boolean> {
 		return this._waitFor(async () => {
 			const versions = await Promise.all(this.running().map(async vm => vm.operator.versionInForce()));
@@ -162,13 +162,13 @@
 		return this.running().map(({program}) => Number(readFileSync(`/proc/${program.pid}/statm`, 'utf8').split(' ')[1]) * pageBytes / 1_000_000);
 	}
 
-	private async _knowOneAnother(count: number): Promise<boolean> {
-		const lists = await Promise.all(this.vms.map(async vm => this.ask(vm, '/v1/vms', vmsSchema)));
+	private async _haveAllMembers(count: number): Promise<boolean> {
+		const lists = await Promise.all(this.vms.map(async vm => this.readJson(vm, '/v1/vms', vmsSchema)));
 		return lists.every(list => list?.vms.filter(({state}) => state === 'live').length === count);
 	}
 
 	private async _waitFor(check: () => Promise<boolean>): Promise<boolean> {
-		const deadline = performance.now() + startLimitMilliseconds;
+		const deadline = performance.now() + timeoutMilliseconds;
 		while (performance.now() < deadline) {
 			if (await check()) {
 				return true;
@@ -180,13 +180,13 @@
 		return false;
 	}
 
-	private async _program(program: string, parameters: readonly string[]): Promise<{readonly listening: number; readonly ports?: readonly number[]}> {
+	private async _startProgram(program: string, parameters: readonly string[]): Promise<{readonly listening: number; readonly ports?: readonly number[]}> {
 		const child = this._register(new ChildProgram({program, parameters}));
 		const ready = await child.ready();
 		return ready.unwrapOr({listening: 0});
 	}
 
-	private _takeMetrics(text: string): void {
+	private _addMetrics(text: string): void {
 		for (const line of text.split('\n')) {
 			const match = /^jaydale\.peers\.(?<name>bytes|messages):(?<count>[\d.]+)\|c.*direction:out/v.exec(line);
 			if (match?.groups) {
@@ -198,10 +198,10 @@
 	}
 }
 
-/** Fields 14 and 15 of `/proc/PID/stat`; the name before them may hold spaces. */
+/** Processor time from fields 14 and 15 of `/proc/PID/stat`, counted from behind the process name, which may contain spaces. */
 function processorMilliseconds(pid: number): number {
 	const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').split(') ')[1]!.split(' ');
-	return (Number(fields[11]) + Number(fields[12])) * tickMilliseconds;
+	return (Number(fields[11]) + Number(fields[12])) * millisecondsPerTick;
 }
 
 class DisposableAgent {
--- a/benchmark/control/main.ts
+++ b/benchmark/control/main.ts
@@ -1,4 +1,4 @@
-/** `control`: what VMs do together, measured on real daemons: time to force, time to leave, cost, slopes. */
+/** Benchmark `control`: measures on real daemons how long changes and leaving signs take, what control costs at rest, and how the cost grows. */
 import {writeFileSync} from 'node:fs';
 import process from 'node:process';
 import {setTimeout as delay} from 'node:timers/promises';
@@ -11,7 +11,7 @@
 
 type Options = {readonly vms: string | number; readonly resources: string | number; readonly json?: string};
 
-/** Figures of one size of fleet. */
+/** Figures for one number of VMs. */
 type SizeFigures = {
 	readonly vms: number;
 	readonly atRest: Cost;
@@ -21,7 +21,7 @@
 	readonly leaving: Spread;
 };
 
-/** Figures of one number of resources on 3 VMs. */
+/** Figures for one number of resources, on 3 VMs. */
 type ResourceFigures = {readonly resources: number; readonly atRest: Cost; readonly inForce: Spread};
 
 const backendServers = 6;
@@ -29,10 +29,10 @@
 const outageRuns = 8;
 const replacedRuns = 2;
 const leavingRuns = 5;
-const restSeconds = 8;
-const largestChange = 1000;
+const idleSeconds = 8;
+const maxResourcesPerChange = 1000;
 
-/** Rumours of the last change and of new VMs go on for some seconds; at rest they are over. */
+/** Time after which the fleet counts as at rest: gossip about the last change and about new VMs takes some seconds. */
 const settleMilliseconds = 8000;
 
 function log(message: string): void {
@@ -46,15 +46,15 @@
 		const isUp = await fleet.start(vms, backendServers);
 		const declared = await fleet.change(fleet.vms[0]!, [service('reads'), ...fleet.backendPorts.map((port, index) => backendServer(`server-${index}`, port))]);
 		if (!isUp || !declared || !await fleet.waitInForce(declared.version)) {
-			log(`${vms} VMs: not set up in time`);
+			log(`${vms} VMs: fleet not set up in time`);
 			return undefined;
 		}
 
 		await delay(settleMilliseconds);
-		const atRest = await costAtRest(fleet, restSeconds);
+		const atRest = await costAtRest(fleet, idleSeconds);
 		log(`${vms} VMs at rest: ${JSON.stringify(atRest)}`);
-		const nothing = async (): Promise<void> => undefined;
-		const inForceCalm = await timeToForce(fleet, calmRuns, nothing, nothing);
+		const noAction = async (): Promise<void> => undefined;
+		const inForceCalm = await timeToForce(fleet, calmRuns, noAction, noAction);
 		log(`${vms} VMs calm: ${JSON.stringify(inForceCalm)}`);
 		const inForceStoreOut = await timeToForce(fleet, outageRuns, async () => standInClient.setFaults(fleet.platformPort, {mode: 'down'}), async () => {
 			await standInClient.setFaults(fleet.platformPort, {mode: 'up'});
@@ -76,7 +76,7 @@
 	}
 }
 
-/** Declares resources in steps; the addresses are never called, as nothing is measured and nobody calls. */
+/** Declares resources in steps. Their addresses are never called, since there are neither load probes nor callers. */
 async function measureResources(sizes: readonly number[]): Promise<ResourceFigures[]> {
 	const fleet = new ControlFleet();
 	const figures: ResourceFigures[] = [];
@@ -87,7 +87,7 @@
 		for (const size of sizes) {
 			let version = 0;
 			while (declared < size) {
-				const count = Math.min(largestChange, size - declared);
+				const count = Math.min(maxResourcesPerChange, size - declared);
 				const first = declared;
 				const accepted = await fleet.change(fleet.vms[0]!, Array.from({length: count}, (_, index) => backendServer(`server-${first + index}`, 1)));
 				version = accepted?.version ?? version;
@@ -96,9 +96,9 @@
 
 			await fleet.waitInForce(version);
 			await delay(settleMilliseconds);
-			const atRest = await costAtRest(fleet, restSeconds);
-			const nothing = async (): Promise<void> => undefined;
-			const inForce = await timeToForce(fleet, 10, nothing, nothing);
+			const atRest = await costAtRest(fleet, idleSeconds);
+			const noAction = async (): Promise<void> => undefined;
+			const inForce = await timeToForce(fleet, 10, noAction, noAction);
 			log(`${size} resources: ${JSON.stringify({atRest, inForce})}`);
 			figures.push({resources: size, atRest, inForce});
 		}
@@ -109,14 +109,14 @@
 	return figures;
 }
 
-/** Least squares: what one more costs. */
+/** Slope by least squares: the cost of one more VM or resource. */
 function slope(points: ReadonlyArray<readonly [number, number]>): number {
 	const n = points.length;
 	const meanX = points.reduce((sum, [x]) => sum + x, 0) / n;
 	const meanY = points.reduce((sum, [, y]) => sum + y, 0) / n;
-	const above = points.reduce((sum, [x, y]) => sum + ((x - meanX) * (y - meanY)), 0);
-	const below = points.reduce((sum, [x]) => sum + ((x - meanX) ** 2), 0);
-	return above / below;
+	const covariance = points.reduce((sum, [x, y]) => sum + ((x - meanX) * (y - meanY)), 0);
+	const variance = points.reduce((sum, [x]) => sum + ((x - meanX) ** 2), 0);
+	return covariance / variance;
 }
 
 function slopes<T extends {readonly atRest: Cost}>(figures: readonly T[], size: (item: T) => number): Record<keyof Cost, number> | undefined {
@@ -124,13 +124,13 @@
 		return undefined;
 	}
 
-	const of = (name: keyof Cost): number => Number(slope(figures.map(item => [size(item), item.atRest[name]] as const)).toPrecision(3));
+	const slopeOf = (name: keyof Cost): number => Number(slope(figures.map(item => [size(item), item.atRest[name]] as const)).toPrecision(3));
 	return {
-		bytesOutPerSecond: of('bytesOutPerSecond'),
-		messagesOutPerSecond: of('messagesOutPerSecond'),
-		processorPercent: of('processorPercent'),
-		memoryMegabytes: of('memoryMegabytes'),
-		storeCallsPerSecond: of('storeCallsPerSecond'),
+		bytesOutPerSecond: slopeOf('bytesOutPerSecond'),
+		messagesOutPerSecond: slopeOf('messagesOutPerSecond'),
+		processorPercent: slopeOf('processorPercent'),
+		memoryMegabytes: slopeOf('memoryMegabytes'),
+		storeCallsPerSecond: slopeOf('storeCallsPerSecond'),
 	};
 }
 
--- a/benchmark/control/scenarios.ts
+++ b/benchmark/control/scenarios.ts
@@ -1,4 +1,4 @@
-/** What the control benchmark measures on a running fleet. */
+/** Measurements of the control benchmark on a running fleet. */
 import {randomUUID} from 'node:crypto';
 import {setTimeout as delay} from 'node:timers/promises';
 import {request} from 'undici';
@@ -6,10 +6,10 @@
 import {standInClient} from '../../src/stand-ins/stand-in-client.ts';
 import {type ControlFleet, type ControlVm} from './control-fleet.ts';
 
-/** Times in milliseconds. */
+/** Distribution of times in milliseconds over a number of runs. */
 export type Spread = {readonly runs: number; readonly missed: number; readonly p50: number; readonly p99: number; readonly worst: number};
 
-/** What a VM spends on control, on average over the VMs. */
+/** Cost of control per VM, as a mean over the VMs. */
 export type Cost = {
 	readonly bytesOutPerSecond: number;
 	readonly messagesOutPerSecond: number;
@@ -19,18 +19,18 @@
 	readonly storeCallsPerSecond: number;
 };
 
-/** Past this a change counts as missed. */
+/** A change that is not in force on all VMs after this time counts as missed. */
 const inForceLimitMilliseconds = 10_000;
 
-/** Between two calls of the load that shows whether a leaving backend server still gets work. */
-const callEveryMilliseconds = 10;
-const leaveWatchMilliseconds = 3000;
+/** Interval of the calls that show whether a leaving backend server still receives calls. */
+const callIntervalMilliseconds = 10;
+const drainObservationMilliseconds = 3000;
 
 export function spread(times: readonly number[], missed: number): Spread {
 	const sorted = times.toSorted((a, b) => a - b);
-	const at = (share: number): number => Math.round((sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))] ?? Number.NaN) * 10) / 10;
+	const quantile = (fraction: number): number => Math.round((sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))] ?? Number.NaN) * 10) / 10;
 	return {
-		runs: times.length + missed, missed, p50: at(0.5), p99: at(0.99), worst: at(1),
+		runs: times.length + missed, missed, p50: quantile(0.5), p99: quantile(0.99), worst: quantile(1),
 	};
 }
 
@@ -46,11 +46,11 @@
 	});
 }
 
-/** From the acceptance of one change to the last VM that has it in force. */
-async function timeOne(fleet: ControlFleet, through: ControlVm, number: number, onAccepted: () => Promise<unknown>): Promise<number | undefined> {
-	const before = await through.operator.versionInForce() ?? 0;
+/** Milliseconds from the acceptance of a change until it is in force on the last VM; undefined if missed. */
+async function timeChange(fleet: ControlFleet, changeVm: ControlVm, number: number, onAccepted: () => Promise<unknown>): Promise<number | undefined> {
+	const before = await changeVm.operator.versionInForce() ?? 0;
 	const watching = fleet.running().map(async vm => fleet.nextVersion(vm, before, inForceLimitMilliseconds));
-	const accepted = await fleet.change(through, [service('reads', number)]);
+	const accepted = await fleet.change(changeVm, [service('reads', number)]);
 	const disturbance = onAccepted();
 	const arrivals = await Promise.all(watching);
 	await disturbance;
@@ -61,12 +61,12 @@
 	return Math.max(0, ...arrivals.map(arrival => arrival!.at - accepted.at));
 }
 
-/** Repeats a change; `onAccepted` disturbs the fleet right after the answer to the operator. */
+/** Times repeated changes. `onAccepted` can disturb the fleet as soon as the operator has received the answer. */
 export async function timeToForce(fleet: ControlFleet, runs: number, onAccepted: (run: number) => Promise<unknown>, afterRun: () => Promise<unknown>): Promise<Spread> {
 	const times: number[] = [];
 	for (let run = 0; run < runs; run += 1) {
 		const running = fleet.running();
-		const time = await timeOne(fleet, running[run % running.length]!, run, async () => onAccepted(run));
+		const time = await timeChange(fleet, running[run % running.length]!, run, async () => onAccepted(run));
 		if (time !== undefined) {
 			times.push(time);
 		}
@@ -77,25 +77,25 @@
 	return spread(times, runs - times.length);
 }
 
-/** What control costs while nothing happens. */
+/** Measures the cost of control without changes and calls. */
 export async function costAtRest(fleet: ControlFleet, seconds: number): Promise<Cost> {
 	const before = await fleet.counters();
 	await delay(seconds * 1000);
 	const after = await fleet.counters();
-	const span = (after.at - before.at) / 1000;
+	const elapsedSeconds = (after.at - before.at) / 1000;
 	const vms = after.processorMilliseconds.length;
 	const processor = after.processorMilliseconds.reduce((sum, value, index) => sum + value - before.processorMilliseconds[index]!, 0);
 	const round = (value: number): number => Math.round(value * 100) / 100;
 	return {
-		bytesOutPerSecond: round((after.peerBytes - before.peerBytes) / span / vms),
-		messagesOutPerSecond: round((after.peerMessages - before.peerMessages) / span / vms),
-		processorPercent: round(processor / span / 10 / vms),
+		bytesOutPerSecond: round((after.peerBytes - before.peerBytes) / elapsedSeconds / vms),
+		messagesOutPerSecond: round((after.peerMessages - before.peerMessages) / elapsedSeconds / vms),
+		processorPercent: round(processor / elapsedSeconds / 10 / vms),
 		memoryMegabytes: round(fleet.memory().reduce((sum, value) => sum + value, 0) / vms),
-		storeCallsPerSecond: round((after.storeCalls - before.storeCalls) / span),
+		storeCallsPerSecond: round((after.storeCalls - before.storeCalls) / elapsedSeconds),
 	};
 }
 
-/** Calls through each VM at a steady rate until told to stop. */
+/** Sends calls through each VM, 10 ms apart, until `stop` is called. */
 function callThroughAll(fleet: ControlFleet): {readonly stop: () => Promise<void>} {
 	const stopping = new AbortController();
 	const loops = fleet.running().map(async vm => {
@@ -104,10 +104,10 @@
 				const {body} = await request(`http://127.0.0.1:${vm.plan.callPort}/services/reads/x`, {headers: {'jaydale-caller': randomUUID()}});
 				await body.dump();
 			} catch {
-				// What calls come to is measured elsewhere.
+				// The outcomes of calls are measured by other benchmarks.
 			}
 
-			await delay(callEveryMilliseconds);
+			await delay(callIntervalMilliseconds);
 		}
 	});
 	return {
@@ -118,7 +118,7 @@
 	};
 }
 
-/** From the moment at which a backend server begins to leave to the last new call that it gets. */
+/** Times how long after the start of its drain a backend server still receives new calls. */
 export async function timeToLastCall(fleet: ControlFleet, runs: number): Promise<Spread> {
 	const calls = callThroughAll(fleet);
 	await delay(1000);
@@ -126,7 +126,7 @@
 	for (let run = 0; run < runs; run += 1) {
 		const port = fleet.backendPorts[run % fleet.backendPorts.length]!;
 		await standInClient.orderBackendServer(port, {isDraining: true});
-		await delay(leaveWatchMilliseconds);
+		await delay(drainObservationMilliseconds);
 		const records = await standInClient.calls(port);
 		times.push(Math.max(0, ...records.map(record => record.millisecondsIntoDrain ?? 0)));
 	}
--- a/benchmark/control/types.ts
+++ b/benchmark/control/types.ts
@@ -1,12 +1,12 @@
-/** Results of the control benchmark as they are stored. */
+/** Stored results of the control benchmark. */
 import {z} from 'zod';
 
-/** Times in milliseconds of a number of runs. */
+/** Distribution of times in milliseconds over a number of runs. */
 export const spreadSchema = z.object({
 	runs: z.int(), missed: z.int(), p50: z.number(), p99: z.number(), worst: z.number(),
 });
 
-/** What one VM spends at rest; calls to the store are those of the whole fleet. */
+/** Cost of one VM at rest; `storeCallsPerSecond` is for the whole fleet. */
 export const costSchema = z.object({
 	bytesOutPerSecond: z.number(), messagesOutPerSecond: z.number(), processorPercent: z.number(), memoryMegabytes: z.number(), storeCallsPerSecond: z.number(),
 });
--- a/benchmark/path/front-only.ts
+++ b/benchmark/path/front-only.ts
@@ -1,6 +1,6 @@
 /**
- * The data path alone as a process: callers' listener, call engine, attempts; one service `bench`, a fixed
- * configuration, no control. What it costs less than the daemon is what control costs a call.
+ * Process that contains only the data path (callers' listener, call engine, attempts), with one service `bench`, a fixed
+ * configuration and no control. The difference to the daemon is the cost of control per call.
  */
 import process from 'node:process';
 import sade from 'sade';
@@ -19,9 +19,9 @@
 
 type Options = {readonly 'backend-servers': string};
 
-const distant = 1e12;
-/** One share slot of a fleet's 24: what one VM of a fleet spends. */
-const onePart = 1 / 24;
+const farFutureMilliseconds = 1e12;
+/** Fraction of the load probe budget of a VM that holds one of 24 share slots. */
+const shareSlotFraction = 1 / 24;
 
 function declaredServers(ports: readonly number[]): Map<string, BackendServer> {
 	return new Map(ports.map(port => [`identity-${port}`, backendServerSchema.parse({
@@ -58,7 +58,7 @@
 	loop.feed({
 		type: 'shares',
 		shares: {
-			loadProbeFraction: onePart, loadProbesFrom: 0, loadProbesUntil: distant, connectionFraction: 1, vmCount: 1,
+			loadProbeFraction: shareSlotFraction, loadProbesFrom: 0, loadProbesUntil: farFutureMilliseconds, connectionFraction: 1, vmCount: 1,
 		},
 	});
 	const server = new CallerServer({
--- a/benchmark/path/held-connections.ts
+++ b/benchmark/path/held-connections.ts
@@ -1,13 +1,13 @@
-/** Connections that are held open: idle after one call, or in the middle of a download that nobody reads. */
+/** Connections that are held open: idle after one call, or paused in the middle of a download. */
 import {connect, type Socket} from 'node:net';
 import {once} from 'node:events';
 import {Disposable, toDisposable} from '../../src/common/lifecycle/disposable.ts';
 import {bytesHeader, workHeader} from '../../src/stand-ins/headers.ts';
 import {type HoldOrder} from './types.ts';
 
-/** Raw sockets, since a client library would read ahead. */
+/** Uses raw sockets, since a client library would read ahead. */
 export class HeldConnections extends Disposable {
-	/** Opens all; resolves when each has sent its call and has got the first bytes of its answer. */
+	/** Opens all connections; resolves when each has sent its call and received the first bytes of the answer. */
 	async open(order: HoldOrder): Promise<void> {
 		await Promise.all(Array.from({length: order.count}, async () => this._openOne(order)));
 	}
--- a/benchmark/path/load-generator.ts
+++ b/benchmark/path/load-generator.ts
@@ -1,4 +1,4 @@
-/** Calls at a fixed rate (open loop) or as fast as a number of connections allows (closed loop). */
+/** Load generator: sends calls at a fixed rate (open loop), or as fast as a number of connections allows (closed loop). */
 import {Buffer} from 'node:buffer';
 import {performance} from 'node:perf_hooks';
 import {build, type Histogram} from 'hdr-histogram-js';
@@ -7,20 +7,20 @@
 import {bytesHeader, callIdHeader, workHeader} from '../../src/stand-ins/headers.ts';
 import {type LoadOrder, type LoadResult} from './types.ts';
 
-const highestMicroseconds = 120_000_000;
+const maxLatencyMicroseconds = 120_000_000;
 const connectionLimit = 256;
 
-/** One call on the wire; checks every byte. */
+/** Handler of one call that checks every byte of the answer. */
 class MeasuredCall implements Dispatcher.DispatchHandler {
 	private _length = 0;
-	private _isRight = true;
+	private _isCorrect = true;
 	private _status = 0;
 	private readonly _expected: AnswerBody;
-	private readonly _done: (isRight: boolean) => void;
+	private readonly _onDone: (isCorrect: boolean) => void;
 
-	constructor(expected: AnswerBody, done: (isRight: boolean) => void) {
+	constructor(expected: AnswerBody, onDone: (isCorrect: boolean) => void) {
 		this._expected = expected;
-		this._done = done;
+		this._onDone = onDone;
 	}
 
 	onRequestStart(): void {
@@ -32,22 +32,22 @@
 	}
 
 	onResponseData(_controller: Dispatcher.DispatchController, chunk: Buffer): void {
-		this._isRight &&= this._expected.matches(chunk, this._length);
+		this._isCorrect &&= this._expected.matches(chunk, this._length);
 		this._length += chunk.length;
 	}
 
 	onResponseEnd(): void {
-		this._done(this._isRight && this._status === 200 && this._length === this._expected.length);
+		this._onDone(this._isCorrect && this._status === 200 && this._length === this._expected.length);
 	}
 
 	onResponseError(): void {
-		this._done(false);
+		this._onDone(false);
 	}
 }
 
-/** Runs one order; made anew for each, so that runs share nothing. */
+/** Runs one order. Every order gets its own generator, so that runs share no state. */
 export class LoadGenerator {
-	private readonly _histogram: Histogram = build({lowestDiscernibleValue: 1, highestTrackableValue: highestMicroseconds, numberOfSignificantValueDigits: 3});
+	private readonly _histogram: Histogram = build({lowestDiscernibleValue: 1, highestTrackableValue: maxLatencyMicroseconds, numberOfSignificantValueDigits: 3});
 	private readonly _pools: readonly Pool[];
 	private readonly _order: LoadOrder;
 	private readonly _body: Buffer | null;
@@ -55,7 +55,7 @@
 	private _countFrom = 0;
 	private _sent = 0;
 	private _failed = 0;
-	private _right = 0;
+	private _correct = 0;
 	private _inFlight = 0;
 
 	constructor(order: LoadOrder) {
@@ -70,7 +70,7 @@
 		}));
 	}
 
-	/** Warms up, then measures. */
+	/** Runs the warm-up and the measured part. */
 	async run(): Promise<LoadResult> {
 		this._countFrom = performance.now() + (this._order.warmUpSeconds * 1000);
 		await (this._order.callsPerSecond === 0 ? this._runClosed() : this._runOpen());
@@ -79,7 +79,7 @@
 		return {
 			calls: this._sent,
 			failed: this._failed,
-			callsPerSecond: this._right / this._order.seconds,
+			callsPerSecond: this._correct / this._order.seconds,
 			p50: percentile(50),
 			p99: percentile(99),
 			p999: percentile(99.9),
@@ -87,7 +87,7 @@
 		};
 	}
 
-	/** Each ended call starts the next. */
+	/** Starts the next call whenever one ends. */
 	private async _runClosed(): Promise<void> {
 		const until = this._countFrom + (this._order.seconds * 1000);
 		await new Promise<void>(resolve => {
@@ -106,9 +106,9 @@
 	}
 
 	/**
-	 * Calls are due at fixed times and are counted from then, whether or not earlier ones have ended: a
-	 * stall of the system shows in every call that was due meanwhile. The loop polls without pause, since a
-	 * timer's millisecond is as long as what is measured.
+	 * Calls are due at fixed instants, whether or not earlier calls have ended, and latencies are measured from these instants.
+	 * A stall of the system therefore shows in every call that was due during the stall. The loop polls continuously, since the
+	 * 1 ms resolution of timers is as long as the measured latencies.
 	 */
 	private async _runOpen(): Promise<void> {
 		const startedAt = performance.now();
@@ -132,7 +132,7 @@
 		});
 	}
 
-	private _send(dueAt: number, ended: () => void): void {
+	private _send(dueAt: number, onEnded: () => void): void {
 		const index = this._sent++;
 		this._inFlight++;
 		const callId = String(index);
@@ -147,21 +147,21 @@
 			path: this._order.pathPrefix + path,
 			headers: [callIdHeader, callId, bytesHeader, String(this._order.answerBytes), workHeader, String(this._order.workMilliseconds)],
 			body: this._body,
-		}, new MeasuredCall(expected, isRight => {
+		}, new MeasuredCall(expected, isCorrect => {
 			this._inFlight--;
-			if (isRight && dueAt < this._countFrom) {
-				ended();
+			if (isCorrect && dueAt < this._countFrom) {
+				onEnded();
 				return;
 			}
 
-			if (isRight) {
-				this._right++;
+			if (isCorrect) {
+				this._correct++;
 				this._histogram.recordValue(Math.max(1, Math.round((performance.now() - dueAt) * 1000)));
 			} else {
 				this._failed++;
 			}
 
-			ended();
+			onEnded();
 		}));
 	}
 }
--- a/benchmark/path/load-main.ts
+++ b/benchmark/path/load-main.ts
@@ -1,4 +1,4 @@
-/** Process entry of the load: `POST /run` carries out one order; `POST /hold` and `/release` hold connections. */
+/** Entry point of the load process: `POST /run` runs one order; `POST /hold` opens connections, `POST /release` closes them. */
 import process from 'node:process';
 import {getRequestListener} from '@hono/node-server';
 import {Hono} from 'hono';
@@ -34,9 +34,9 @@
 	.option('--port', 'Port to listen on; 0 = any', 0)
 	.action(async (options: {readonly port: number}) => {
 		const held = new MutableDisposable<HeldConnections>();
-		const answer = getRequestListener(loadRoutes(held).fetch, {overrideGlobalObjects: false});
+		const handleRequest = getRequestListener(loadRoutes(held).fetch, {overrideGlobalObjects: false});
 		const listener = new HttpListener({address: '127.0.0.1', port: options.port}, (request, response) => {
-			void answer(request, response);
+			void handleRequest(request, response);
 		});
 		await runAsProcess({
 			start: async () => listener.listen(),
--- a/benchmark/path/main.ts
+++ b/benchmark/path/main.ts
@@ -1,6 +1,6 @@
 /**
- * What a call costs: `node --import=tsx benchmark/path/main.ts [--json FILE] [--seconds N]`. Real
- * processes on loopback, direct and through jaydale in one run.
+ * Benchmark `path`: the cost of a call. Compares direct calls with calls through jaydale, with real processes on loopback.
+ * `node --import=tsx benchmark/path/main.ts [--json FILE] [--seconds N]`
  */
 import {spawnSync} from 'node:child_process';
 import {writeFileSync} from 'node:fs';
@@ -81,14 +81,14 @@
 	]);
 }
 
-/** Small reads alone: for trying a change. */
+/** Measures small reads only, for a quick trial of a change. */
 async function runQuick(benchmark: PathBenchmark): Promise<PairedResult[]> {
 	const saturation = await benchmark.paired('reads, saturation', smallRead, 0, 3);
 	const fixed = await benchmark.paired('reads, 60%', smallRead, Math.floor(saturation.through.callsPerSecond * 0.6), 3);
 	return [saturation, fixed];
 }
 
-/** The daemon is measured as it runs in service: built, without the loader of TypeScript. */
+/** Builds the daemon, which is measured as in production, without the TypeScript loader; false if the build fails. */
 function isBuilt(): boolean {
 	const build = spawnSync(join(packageRoot, 'node_modules', '.bin', 'tsc'), ['-p', join(packageRoot, 'tsconfig.build.json')], {stdio: 'inherit'});
 	return build.status === 0;
@@ -161,13 +161,13 @@
 		return;
 	}
 
-	const found = await runAll(target, benchmark);
+	const measurements = await runAll(target, benchmark);
 	const results: PathResults = {
 		command: `node --import=tsx benchmark/path/main.ts --seconds ${options.seconds}${kind === 'front-only' ? ' --front-only' : ''}`,
 		node: process.version,
 		processors: `${cpus().length} x ${cpus()[0]?.model ?? ''}`,
 		target: kind,
-		...found,
+		...measurements,
 	};
 	target.dispose();
 	print(`\n${pairedTable(results.paired)}\n\n${memoryTable(results.memory)}`);
--- a/benchmark/path/measured-target.ts
+++ b/benchmark/path/measured-target.ts
@@ -1,4 +1,4 @@
-/** The processes of one benchmark: backend servers, load, and jaydale's process that is measured. */
+/** Processes of one benchmark: backend servers, load generator, and the measured process of jaydale. */
 import {mkdtempSync, rmSync} from 'node:fs';
 import {tmpdir} from 'node:os';
 import {join} from 'node:path';
@@ -15,18 +15,18 @@
 import {standInClient} from '../../src/stand-ins/stand-in-client.ts';
 import {type GarbageCollection, garbageCollectionSchema} from './types.ts';
 
-/** Why the benchmark could not be set up. */
+/** Error of a benchmark that could not be set up. */
 export type TargetFailure = Failure<'not-set-up'>;
 
-/** What is measured. */
+/** Kind of the measured process. */
 export type TargetKind = 'daemon' | 'front-only';
 
 const backendServerCount = 8;
-const setUpLimitMilliseconds = 30_000;
+const setUpTimeoutMilliseconds = 30_000;
 const pollMilliseconds = 50;
-const observer = 'src/stand-ins/garbage-collection-observer';
+const garbageCollectionObserver = 'src/stand-ins/garbage-collection-observer';
 
-/** Owns the processes; a disposal kills them. */
+/** Owns the processes; disposal kills them. */
 export class MeasuredTarget extends Disposable {
 	private readonly _kind: TargetKind;
 	private readonly _nodeOptions: readonly string[];
@@ -54,17 +54,17 @@
 		return this._loadPort;
 	}
 
-	/** Port at which jaydale takes calls. */
+	/** Port at which jaydale accepts calls. */
 	get callPort(): number {
 		return this._callPort;
 	}
 
-	/** Process id of what is measured. */
+	/** Process id of the measured process; 0 if none runs. */
 	get pid(): number {
 		return this._program?.pid ?? 0;
 	}
 
-	/** Starts everything; jaydale's log is written down to `logLevel`. */
+	/** Starts all processes; `logLevel` is the log level of jaydale. */
 	async setUp(logLevel: string): Promise<Result<void, TargetFailure>> {
 		const backends = await this._start('src/stand-ins/backend-server/main', [
 			'--no-record',
@@ -87,11 +87,11 @@
 		return this.startMeasured(logLevel);
 	}
 
-	/** Starts the measured process, again if one runs already. */
+	/** Starts the measured process; replaces one that is running. */
 	async startMeasured(logLevel: string): Promise<Result<void, TargetFailure>> {
 		this._program?.dispose();
 		if (this._kind === 'front-only') {
-			const front = await this._start('benchmark/path/front-only', ['--backend-servers', this._backendPorts.join(',')], {nodeOptions: this._nodeOptions, preloads: [observer]});
+			const front = await this._start('benchmark/path/front-only', ['--backend-servers', this._backendPorts.join(',')], {nodeOptions: this._nodeOptions, preloads: [garbageCollectionObserver]});
 			return front.andThen(({program, ready}) => {
 				this._program = program;
 				this._callPort = ready.listening;
@@ -102,18 +102,18 @@
 		return this._startDaemon(logLevel);
 	}
 
-	/** Ends the measured process in the ordered way, so that it can write a profile. */
+	/** Stops the measured process gracefully, so that it can write a profile. */
 	async stopMeasured(): Promise<void> {
-		await this._program?.stop(setUpLimitMilliseconds);
+		await this._program?.stop(setUpTimeoutMilliseconds);
 	}
 
-	/** Calls that the backend servers have begun to run. */
+	/** Number of calls that the backend servers have started. */
 	async runs(): Promise<number> {
 		const counts = await Promise.all(this._backendPorts.map(async port => standInClient.backendServerCounts(port)));
 		return counts.reduce((sum, {started}) => sum + started, 0);
 	}
 
-	/** Garbage collection of the measured process since it was last asked. */
+	/** Garbage collection in the measured process since the previous request. */
 	async garbageCollection(): Promise<GarbageCollection> {
 		return new Promise(resolve => {
 			const subscription = this._program!.onErrorLine(line => {
@@ -147,13 +147,13 @@
 			program: 'src/daemon/main',
 			parameters: ['serve', '--settings', settingsFile],
 			nodeOptions: this._nodeOptions,
-			preloads: [observer],
+			preloads: [garbageCollectionObserver],
 			files: builtFiles,
 		}));
-		return this._declare(new OperatorClient(`http://127.0.0.1:${plan.operatorPort}`, exampleToken));
+		return this._declareResources(new OperatorClient(`http://127.0.0.1:${plan.operatorPort}`, exampleToken));
 	}
 
-	private async _declare(operator: OperatorClient): Promise<Result<void, TargetFailure>> {
+	private async _declareResources(operator: OperatorClient): Promise<Result<void, TargetFailure>> {
 		const resources: Resource[] = [
 			serviceSchema.parse({
 				kind: 'service', name: 'bench', timeoutMilliseconds: 600_000, queueLimit: 10_000,
@@ -162,12 +162,12 @@
 				kind: 'backend-server', name: `bench-${port}`, service: 'bench', address: '127.0.0.1', port, dataCentre: 'bench-1',
 			})),
 		];
-		const accepted = await operator.putAll(resources, 'benchmark', setUpLimitMilliseconds, () => this._program?.exitCode === undefined);
+		const accepted = await operator.putAll(resources, 'benchmark', setUpTimeoutMilliseconds, () => this._program?.exitCode === undefined);
 		if (accepted.isErr()) {
 			return err(failure('not-set-up', `${accepted.error.message}\n${this._program?.lastErrors ?? ''}`));
 		}
 
-		const deadline = performance.now() + setUpLimitMilliseconds;
+		const deadline = performance.now() + setUpTimeoutMilliseconds;
 		while (performance.now() < deadline) {
 			if ((await operator.versionInForce() ?? 0) >= accepted.value) {
 				return ok();
@@ -176,7 +176,7 @@
 			await delay(pollMilliseconds);
 		}
 
-		return err(failure('not-set-up', 'the service is not in force in time'));
+		return err(failure('not-set-up', 'the service was not in force before the set-up timeout'));
 	}
 
 	private async _start(
--- a/benchmark/path/path-benchmark.ts
+++ b/benchmark/path/path-benchmark.ts
@@ -1,4 +1,4 @@
-/** The course of the benchmark: direct and through jaydale in turns, then memory. */
+/** Steps of the benchmark: calls directly and through jaydale in turns, then memory. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {loadClient} from './load-client.ts';
 import {type MeasuredTarget} from './measured-target.ts';
@@ -7,7 +7,7 @@
 	type GarbageCollection, type LoadOrder, type LoadResult, type PairedResult, type PathResults,
 } from './types.ts';
 
-/** The kinds of calls. */
+/** Sizes and concurrency of a kind of call. */
 export type CallShape = Pick<LoadOrder, 'answerBytes' | 'bodyBytes' | 'concurrency'>;
 
 const servicePrefix = '/services/bench';
@@ -26,21 +26,21 @@
 }
 
 function medianResult(results: readonly LoadResult[]): LoadResult {
-	const pick = (read: (result: LoadResult) => number): number => median(results.map(result => read(result)));
+	const medianOf = (read: (result: LoadResult) => number): number => median(results.map(result => read(result)));
 	return {
 		calls: results.reduce((sum, result) => sum + result.calls, 0),
 		failed: results.reduce((sum, result) => sum + result.failed, 0),
-		callsPerSecond: pick(result => result.callsPerSecond),
-		p50: pick(result => result.p50),
-		p99: pick(result => result.p99),
-		p999: pick(result => result.p999),
-		maximum: pick(result => result.maximum),
+		callsPerSecond: medianOf(result => result.callsPerSecond),
+		p50: medianOf(result => result.p50),
+		p99: medianOf(result => result.p99),
+		p999: medianOf(result => result.p999),
+		maximum: medianOf(result => result.maximum),
 	};
 }
 
-type Through = {readonly result: LoadResult; readonly processorMilliseconds: number; readonly runs: number; readonly waitingMilliseconds: number; readonly garbageCollection: GarbageCollection};
+type ThroughRun = {readonly result: LoadResult; readonly processorMilliseconds: number; readonly runs: number; readonly waitingMilliseconds: number; readonly garbageCollection: GarbageCollection};
 
-/** Runs against one set of processes. */
+/** Runs the measurements against one set of processes. */
 export class PathBenchmark {
 	private readonly _target: MeasuredTarget;
 	private readonly _seconds: number;
@@ -54,16 +54,16 @@
 		this._print = print;
 	}
 
-	/** Direct and through in turns, so that what changes on the machine meets both. */
+	/** Runs direct calls and calls through jaydale in turns, so that changes on the machine affect both. */
 	async paired(name: string, shape: CallShape, callsPerSecond: number, rounds: number): Promise<PairedResult> {
 		const direct: LoadResult[] = [];
-		const through: Through[] = [];
+		const through: ThroughRun[] = [];
 		for (let round = 0; round < rounds; round++) {
 			direct.push(await this._runDirect(shape, callsPerSecond));
 			through.push(await this._runThrough(shape, callsPerSecond));
 		}
 
-		const added = (read: (result: LoadResult) => number): number => median(through.map(({result}, round) => read(result) - read(direct[round]!)));
+		const medianAdded = (read: (result: LoadResult) => number): number => median(through.map(({result}, round) => read(result) - read(direct[round]!)));
 		const calls = through.reduce((sum, {result}) => sum + result.calls, 0);
 		const processor = through.reduce((sum, run) => sum + run.processorMilliseconds, 0);
 		const paired: PairedResult = {
@@ -72,7 +72,7 @@
 			rounds,
 			direct: medianResult(direct),
 			through: medianResult(through.map(({result}) => result)),
-			added: {p50: added(result => result.p50), p99: added(result => result.p99), p999: added(result => result.p999)},
+			added: {p50: medianAdded(result => result.p50), p99: medianAdded(result => result.p99), p999: medianAdded(result => result.p999)},
 			leastAddedP99: Math.min(...through.map(({result}, round) => result.p99 - direct[round]!.p99)),
 			processorMicrosecondsPerCall: processor * 1000 / calls,
 			extraRunShare: (through.reduce((sum, run) => sum + run.runs, 0) / calls) - 1,
@@ -83,34 +83,34 @@
 				longestMilliseconds: Math.max(...through.map(run => run.garbageCollection.longestMilliseconds)),
 			},
 		};
-		this._print(`${name}: ${paired.through.callsPerSecond.toFixed(0)} calls a second through, ${paired.direct.callsPerSecond.toFixed(0)} direct`);
+		this._print(`${name}: ${paired.through.callsPerSecond.toFixed(0)} calls per second through jaydale, ${paired.direct.callsPerSecond.toFixed(0)} direct`);
 		return paired;
 	}
 
 	/**
-	 * Memory of a fresh process: at rest, for idle connections, for downloads that nobody reads. Heap that
-	 * an earlier load has left free would hide all of them.
+	 * Memory of a fresh process: at rest, for idle connections, and for paused downloads. In a process that has run load before,
+	 * the free part of the heap would hide all of these.
 	 */
 	async memory(growthInDownloads: PathResults['memory']['growthInDownloads']): Promise<PathResults['memory']> {
-		const startBytes = await this._settled();
+		const startBytes = await this._settledBytes();
 		const bytesPerIdleConnection = await this._heldGrowth(heldConnections, 1, false) / heldConnections;
-		const beforeDownloads = await this._settled();
+		const beforeDownloads = await this._settledBytes();
 		await this._hold(pausedDownloads, download.answerBytes, true);
-		const early = await this._settled();
-		const late = await this._settled();
+		const earlyBytes = await this._settledBytes();
+		const lateBytes = await this._settledBytes();
 		await loadClient.release(this._target.loadPort);
 		return {
 			startBytes,
 			bytesPerIdleConnection,
-			bytesPerPausedDownload: (early - beforeDownloads) / pausedDownloads,
-			growthWhilePausedBytes: late - early,
+			bytesPerPausedDownload: (earlyBytes - beforeDownloads) / pausedDownloads,
+			growthWhilePausedBytes: lateBytes - earlyBytes,
 			growthInDownloads,
 		};
 	}
 
-	/** How far the memory of a fresh process rises while downloads of a length run, two at a time. */
+	/** Peak growth of the resident memory of a fresh process in bytes, while downloads of a length run two at a time. */
 	async downloadGrowth(answerBytes: number): Promise<number> {
-		const before = await this._settled();
+		const before = await this._settledBytes();
 		let highest = before;
 		const timer = setInterval(() => {
 			highest = Math.max(highest, residentBytes(this._target.pid));
@@ -121,9 +121,9 @@
 	}
 
 	private async _heldGrowth(count: number, answerBytes: number, isPaused: boolean): Promise<number> {
-		const before = await this._settled();
+		const before = await this._settledBytes();
 		await this._hold(count, answerBytes, isPaused);
-		const after = await this._settled();
+		const after = await this._settledBytes();
 		await loadClient.release(this._target.loadPort);
 		return after - before;
 	}
@@ -134,7 +134,7 @@
 		});
 	}
 
-	private async _settled(): Promise<number> {
+	private async _settledBytes(): Promise<number> {
 		await delay(settleMilliseconds);
 		return residentBytes(this._target.pid);
 	}
@@ -155,7 +155,7 @@
 		return loadClient.run(this._target.loadPort, {...this._order(shape, callsPerSecond), ports: [...this._target.backendPorts], pathPrefix: ''});
 	}
 
-	private async _runThrough(shape: CallShape, callsPerSecond: number): Promise<Through> {
+	private async _runThrough(shape: CallShape, callsPerSecond: number): Promise<ThroughRun> {
 		await this._target.garbageCollection();
 		const runsBefore = await this._target.runs();
 		const before = processorMilliseconds(this._target.pid);
--- a/benchmark/path/process-figures.ts
+++ b/benchmark/path/process-figures.ts
@@ -1,23 +1,23 @@
-/** Processor time and memory of another process, from Linux's /proc. */
+/** Processor time and memory of another process, read from Linux's `/proc`. */
 import {readFileSync} from 'node:fs';
 
-/** Linux counts processor time of processes in hundredths of a second. */
+/** Linux counts processor time of processes in ticks of 10 ms. */
 const millisecondsPerTick = 10;
 const nanosecondsPerMillisecond = 1e6;
 const userTimeField = 11;
 const systemTimeField = 12;
 
-/** Milliseconds of processor time so far, all threads. */
+/** Processor time of all threads since the start of the process, in milliseconds. */
 export function processorMilliseconds(pid: number): number {
 	const text = readFileSync(`/proc/${pid}/stat`, 'utf8');
-	// The name in brackets may hold spaces; the fields are counted from behind it.
+	// The process name in parentheses may contain spaces, so fields are counted from behind it.
 	const fields = text.slice(text.lastIndexOf(')') + 2).split(' ');
 	return (Number(fields[userTimeField]) + Number(fields[systemTimeField])) * millisecondsPerTick;
 }
 
 /**
- * Milliseconds that the main thread was ready to run and had to wait for a processor. On a shared
- * machine this is what others do to a measurement, and it is the larger part of a long tail.
+ * Milliseconds that the main thread was ready to run but waited for a processor. On a shared machine this shows the influence
+ * of other processes on a measurement; it causes the larger part of a long tail.
  */
 export function waitingMilliseconds(pid: number): number {
 	const [, waiting = '0'] = readFileSync(`/proc/${pid}/schedstat`, 'utf8').split(' ');
--- a/benchmark/path/types.ts
+++ b/benchmark/path/types.ts
@@ -1,29 +1,29 @@
-/** What the load process takes and gives, and what the benchmark stores. */
+/** Orders and results of the load process, and stored results of the benchmark. */
 import {z} from 'zod';
 
-/** One run of load. */
+/** Order to run load. */
 export const loadOrderSchema = z.strictObject({
 	ports: z.array(z.int()).min(1),
-	/** Stands before every path: `/services/bench` through jaydale, empty to a backend server. */
+	/** Prefix of every path: `/services/bench` for jaydale, empty for a backend server. */
 	pathPrefix: z.string(),
-	/** Open loop at this rate; 0 = closed loop. */
+	/** Rate of the open loop; 0 = closed loop. */
 	callsPerSecond: z.number().min(0),
-	/** Connections of the closed loop. */
+	/** Number of connections of the closed loop. */
 	concurrency: z.int().min(1),
-	/** Calls of the first part of the run are not counted: processes compile and open connections meanwhile. */
+	/** Calls in this first part of the run are not counted, since processes compile code and open connections during it. */
 	warmUpSeconds: z.number().min(0),
 	seconds: z.number().positive(),
 	answerBytes: z.int().min(0),
-	/** 0 = GET without a body, else POST. */
+	/** 0 = GET without a body, otherwise POST. */
 	bodyBytes: z.int().min(0),
 	workMilliseconds: z.number().min(0),
 });
 export type LoadOrder = z.infer<typeof loadOrderSchema>;
 
-/** Latencies in milliseconds, counted from the moment at which a call was due. */
+/** Result of a run. Latencies are in milliseconds from the instant at which a call was due. */
 export const loadResultSchema = z.object({
 	calls: z.int(),
-	/** No whole right answer of status 200. */
+	/** Calls without a complete and correct answer of status 200. */
 	failed: z.int(),
 	callsPerSecond: z.number(),
 	p50: z.number(),
@@ -33,13 +33,13 @@
 });
 export type LoadResult = z.infer<typeof loadResultSchema>;
 
-/** Connections to hold open. */
+/** Order to hold connections open. */
 export const holdOrderSchema = z.strictObject({
 	port: z.int(),
 	path: z.string(),
 	count: z.int().min(1),
 	answerBytes: z.int().min(0),
-	/** Read nothing after the first bytes. */
+	/** Whether reading stops after the first bytes. */
 	isPaused: z.boolean(),
 });
 export type HoldOrder = z.infer<typeof holdOrderSchema>;
@@ -52,7 +52,7 @@
 });
 export type GarbageCollection = z.infer<typeof garbageCollectionSchema>;
 
-/** One way of calling at one rate: direct and through jaydale, paired, the median of the rounds. */
+/** Direct calls compared with calls through jaydale, for one kind of call at one rate; medians over the rounds. */
 export const pairedResultSchema = z.object({
 	name: z.string(),
 	/** 0 = closed loop. */
@@ -60,21 +60,21 @@
 	rounds: z.int(),
 	direct: loadResultSchema,
 	through: loadResultSchema,
-	/** Differences in milliseconds: the median over the rounds of each round's difference. */
+	/** Latency added by jaydale in milliseconds: median over the rounds of the difference in each round. */
 	added: z.object({p50: z.number(), p99: z.number(), p999: z.number()}),
-	/** The smallest of the rounds' differences at p99: what the quietest moment of the machine showed. */
+	/** Smallest difference at p99 of all rounds, that is, of the round in which the machine was quietest. */
 	leastAddedP99: z.number(),
-	/** Of jaydale's process, through runs only. */
+	/** Processor time of jaydale's process per call through it. */
 	processorMicrosecondsPerCall: z.number(),
-	/** Runs at backend servers beyond one a call (hedges, retries), as a share of the calls. */
+	/** Runs at backend servers beyond one per call (hedges, retries), as a fraction of the calls. */
 	extraRunShare: z.number(),
-	/** Share of the run in which its main thread was ready and had no processor: the machine's doing. */
+	/** Fraction of the run in which the main thread of jaydale was ready but waited for a processor, due to other load on the machine. */
 	waitingShare: z.number(),
 	garbageCollection: garbageCollectionSchema,
 });
 export type PairedResult = z.infer<typeof pairedResultSchema>;
 
-/** Everything that one run of the benchmark found. */
+/** All results of one run of the benchmark. */
 export const pathResultsSchema = z.object({
 	command: z.string(),
 	node: z.string(),
@@ -85,9 +85,9 @@
 		startBytes: z.number(),
 		bytesPerIdleConnection: z.number(),
 		bytesPerPausedDownload: z.number(),
-		/** Growth while paused downloads stay paused: 0 but for noise if back pressure holds. */
+		/** Growth while paused downloads stay paused; 0 except for noise if back pressure works. */
 		growthWhilePausedBytes: z.number(),
-		/** Highest resident memory above a fresh start while two downloads of a length ran at a time. */
+		/** Peak resident memory above that of a fresh process, while downloads of a length ran two at a time. */
 		growthInDownloads: z.array(z.object({answerBytes: z.number(), growthBytes: z.number()})),
 	}),
 });
