--- a/benchmark/control/main.ts
+++ b/benchmark/control/main.ts
@@ -60,14 +60,14 @@
 			await standInClient.setFaults(fleet.platformPort, {mode: 'up'});
 			await delay(2500);
 		});
-		log(`${vms} VMs store out: ${JSON.stringify(inForceStoreOut)}`);
+		log(`${vms} VMs during store outage: ${JSON.stringify(inForceStoreOut)}`);
 		const leaving = await timeToLastCall(fleet, leavingRuns);
 		log(`${vms} VMs leaving: ${JSON.stringify(leaving)}`);
 		const inForceReplaced = await timeToForce(fleet, replacedRuns, async () => {
 			await fleet.startVm();
 			fleet.running()[0]!.program.signal('SIGTERM');
 		}, async () => delay(6000));
-		log(`${vms} VMs replaced: ${JSON.stringify(inForceReplaced)}`);
+		log(`${vms} VMs with one replaced: ${JSON.stringify(inForceReplaced)}`);
 		return {
 			vms, atRest, inForceCalm, inForceStoreOut, inForceReplaced, leaving,
 		};
--- a/benchmark/policy/summary.ts
+++ b/benchmark/policy/summary.ts
@@ -85,19 +85,19 @@
 		title: 'refused %', figure: 'refusedPart', digits: 1, isPercent: true,
 	},
 	{
-		title: 'prompt %', figure: 'promptRefusals', digits: 1, isPercent: true,
+		title: 'prompt refusals %', figure: 'promptRefusals', digits: 1, isPercent: true,
 	},
 	{
 		title: 'wasted %', figure: 'wastedWork', digits: 2, isPercent: true,
 	},
 	{title: 'probes/s', figure: 'measuringRate', digits: 2},
 	{
-		title: 'peak %', figure: 'measuringPeak', digits: 0, isPercent: true,
+		title: 'probe peak %', figure: 'measuringPeak', digits: 0, isPercent: true,
 	},
-	{title: 'worst', figure: 'worstShare', digits: 2},
+	{title: 'max/mean calls', figure: 'worstShare', digits: 2},
 	{title: 'updates/s', figure: 'updateRate', digits: 0},
 	{
-		title: 'light %', figure: 'lightGoodPart', digits: 1, isPercent: true,
+		title: 'light good %', figure: 'lightGoodPart', digits: 1, isPercent: true,
 	},
 	{title: 'µs/call', figure: 'microsecondsPerCall', digits: 0},
 ];
