--- a/src/common/burn/bucket-ring.ts
+++ b/src/common/burn/bucket-ring.ts
@@ -1,27 +1,26 @@
-/** Good and bad calls of one window, in a ring of buckets. */
+/** Counts the good and bad calls of one window in a ring buffer of buckets. */
 import {type Instant} from '../model/units.ts';
 import {type BurnWindow} from './burn-windows.ts';
 import {type Bucket} from './types.ts';
 
-/** Counts without allocating: one call adds to one pair of numbers. */
+/** Ring buffer of counters. Counting a call increments one number and allocates nothing. */
 export class BucketRing {
 	private readonly _window: BurnWindow;
 	private readonly _size: number;
 	private readonly _good: Float64Array;
 	private readonly _bad: Float64Array;
-	/** Which stretch of time each slot holds; a slot of another stretch is stale. */
+	/** Epoch (time divided by the bucket length) whose counts each slot holds; a slot with another epoch is stale. */
 	private readonly _epochs: Float64Array;
 
 	constructor(window: BurnWindow) {
 		this._window = window;
-		// One more than the window has: the present bucket is never whole.
+		// One more than the window's full buckets, because the current bucket is still incomplete.
 		this._size = (window.milliseconds / window.bucketMilliseconds) + 1;
 		this._good = new Float64Array(this._size);
 		this._bad = new Float64Array(this._size);
 		this._epochs = new Float64Array(this._size).fill(Number.NEGATIVE_INFINITY);
 	}
 
-	/** Counts one call. */
 	add(isGood: boolean, now: Instant): void {
 		const epoch = this._epochAt(now);
 		const slot = this._slotOf(epoch);
@@ -35,7 +34,7 @@
 		counts[slot]! += 1;
 	}
 
-	/** The buckets that are not empty, the youngest first. */
+	/** Returns the buckets that hold calls, newest first. */
 	buckets(now: Instant): Bucket[] {
 		const present = this._epochAt(now);
 		const found: Bucket[] = [];
@@ -53,7 +52,7 @@
 		return Math.floor(now / this._window.bucketMilliseconds);
 	}
 
-	/** The clock may start anywhere, below 0 too. */
+	/** Always at least 0: epochs may be negative, since a monotonic clock can start anywhere. */
 	private _slotOf(epoch: number): number {
 		return ((epoch % this._size) + this._size) % this._size;
 	}
--- a/src/common/burn/burn-copies.ts
+++ b/src/common/burn/burn-copies.ts
@@ -1,28 +1,27 @@
-/** Copies of other processes' counts, kept because a VM has no disk and may be gone at any moment. */
+/** Stores copies of other processes' counts, because a VM has no disk and may fail at any moment. */
 import {type Instant} from '../model/units.ts';
 import {type ProcessCounts} from './types.ts';
 
-/** A copy and when it came. */
 type Copy = {readonly counts: ProcessCounts; readonly receivedAt: Instant};
 
 /**
- * Most copies on one VM. Every process sends its copy to two others, and old processes' copies stay for
- * the longest window: 64 hold four generations of 16 VMs. A VM of a large fleet drops the oldest.
+ * Maximum number of copies on one VM. Every process sends its counts to two other VMs, and copies of ended processes
+ * matter for the longest window: 64 hold four generations of 16 VMs. In a larger fleet the oldest copies are evicted.
  */
 const mostCopies = 64;
 
-/** The newest copy of each process. */
+/** Stores the newest copy of each process's counts. */
 export class BurnCopies {
 	private readonly _copies = new Map<string, Copy>();
 
-	/** Keeps a copy unless a newer one of the same process is here. */
+	/** Stores a copy unless a newer one of the same process is stored already. */
 	keep(counts: ProcessCounts, now: Instant): void {
 		const known = this._copies.get(counts.identity);
 		if (known !== undefined && ageAt(known, now) <= counts.ageMilliseconds) {
 			return;
 		}
 
-		// What a process spends on measuring is of the moment; a copy of it would be counted for good.
+		// The measuring calls belong to the current measuring window only; in a copy they would be counted long after that window.
 		const services = counts.services.map(account => ({...account, measuringSpent: 0}));
 		this._copies.set(counts.identity, {counts: {...counts, services}, receivedAt: now});
 		if (this._copies.size > mostCopies) {
@@ -30,7 +29,7 @@
 		}
 	}
 
-	/** All copies, aged until now. */
+	/** Returns all copies with their ages at `now`. */
 	all(now: Instant): ProcessCounts[] {
 		return [...this._copies.values()].map(copy => ({...copy.counts, ageMilliseconds: ageAt(copy, now)}));
 	}
--- a/src/common/burn/burn-ledger.ts
+++ b/src/common/burn/burn-ledger.ts
@@ -1,4 +1,4 @@
-/** What this VM's process has counted against the services' objectives since it started. */
+/** Counts this process's calls against the services' objectives since it started. */
 import {type Instant} from '../model/units.ts';
 import {BucketRing} from './bucket-ring.ts';
 import {burnWindows} from './burn-windows.ts';
@@ -6,15 +6,15 @@
 
 type Account = {
 	readonly rings: readonly BucketRing[];
-	/** When counting began. */
+	/** Instant of the service's first counted call. */
 	readonly since: Instant;
 };
 
-/** Counts calls, good and bad, for each service. Kept in memory only: the VM has no disk. */
+/** Counts the good and bad calls of each service. In memory only, as the VM has no disk. */
 export class BurnLedger {
 	private readonly _accounts = new Map<string, Account>();
 
-	/** Counts one ended call. `isGood` as in the call engine's summary: whole, no server error, in time. */
+	/** Counts an ended call. `isGood` as in the call engine's summary: complete answer, no server error, within the objective's latency. */
 	count(service: string, isGood: boolean, now: Instant): void {
 		for (const ring of this._accountOf(service, now).rings) {
 			ring.add(isGood, now);
@@ -22,11 +22,11 @@
 	}
 
 	/**
-	 * All counts, bucket by bucket.
-	 * @param measuringSpent measuring calls that this VM made in the present window, by service
+	 * Returns all counts by service, window and bucket.
+	 * @param measuringSpent measuring calls that this VM made in the current measuring window, by service
 	 */
 	buckets(now: Instant, measuringSpent: ReadonlyMap<string, number> = new Map()): ServiceBuckets[] {
-		// A service is measured before its first call: what that cost belongs into the report too.
+		// Measuring calls start before a service's first call, and the report includes them.
 		return [...new Set([...this._accounts.keys(), ...measuringSpent.keys()])].map(service => {
 			const account = this._accounts.get(service);
 			return {
@@ -38,7 +38,7 @@
 		});
 	}
 
-	/** Forgets services that are declared no more, so that memory follows the configuration. */
+	/** Removes the counts of services that are no longer declared, which bounds memory by the configuration. */
 	retain(services: ReadonlySet<string>): void {
 		for (const service of this._accounts.keys()) {
 			if (!services.has(service)) {
--- a/src/common/burn/burn-report.ts
+++ b/src/common/burn/burn-report.ts
@@ -1,4 +1,4 @@
-/** Merges what processes counted into the report over all VMs. */
+/** Merges the counts of all processes into the burn report over all VMs. */
 import {type BackendServer, type Service} from '../model/resources.ts';
 import {burnWindows, type BurnWindow} from './burn-windows.ts';
 import {
@@ -6,31 +6,31 @@
 } from './types.ts';
 
 /**
- * Burn rates from which an operator should act, by Google's SRE workbook (chapter 5): at 14.4 two
- * percent of a 30-day budget go in one hour, at 6 five percent in six. Each needs a short window to
- * agree, so that the verdict ends soon after its cause has.
+ * Burn rates above which an operator should act, from chapter 5 of Google's SRE workbook: a rate of 14.4 spends 2 % of a
+ * 30-day budget in one hour, a rate of 6 spends 5 % in six hours. Each rate must be exceeded over a short window too, so that
+ * the verdict ends soon after its cause.
  */
 const fastBurnRate = 14.4;
 const slowBurnRate = 6;
 const longestWindow = burnWindows.at(-1)!;
 
-/** A day: shorter histories are judged by the shorter windows alone. */
+/** One day. Histories shorter than this are assessed by the shorter windows alone. */
 const leastKnownMilliseconds = 86_400_000;
 
-/** What a report is made from. */
+/** Input of the burn report. */
 export type BurnInput = {
 	readonly services: readonly Service[];
 	readonly backendServers: readonly BackendServer[];
-	/** Counts told by the processes themselves. */
+	/** Counts sent by the processes themselves. */
 	readonly told: readonly ProcessCounts[];
-	/** Copies of any process; of several copies, and beside the process's own word, only the newest counts. */
+	/** Copies of processes' counts. Of all copies and the process's own counts, only the newest are used. */
 	readonly copies: readonly ProcessCounts[];
-	/** Addresses of the VMs that told, and of those that should have. */
+	/** Addresses of the VMs that sent their counts, and of those that did not answer. */
 	readonly vmsCounted: readonly string[];
 	readonly vmsMissing: readonly string[];
 };
 
-/** The report. Counts of different processes are added: each call was counted by exactly one. */
+/** Builds the report. Counts of different processes are added, as each call is counted by exactly one process. */
 export function makeBurnReport(input: BurnInput): BurnReport {
 	const newest = newestOfEach(input);
 	const told = new Set(input.told.map(counts => counts.identity));
@@ -43,8 +43,8 @@
 }
 
 /**
- * One account for each process. A process that told its counts itself and whose copy lies elsewhere
- * would otherwise be counted twice, and look twice as busy.
+ * Returns the newest counts of each process. A process that sent its own counts and also has a copy on another VM would
+ * otherwise be counted twice.
  */
 function newestOfEach(input: BurnInput): ProcessCounts[] {
 	const newest = new Map<string, ProcessCounts>();
@@ -89,7 +89,7 @@
 	return counts.services.filter(account => account.service === service);
 }
 
-/** The buckets that still lie in the window, now that they are older than when they were told. */
+/** Sums the buckets that are still inside the window, after adding the time since the process exported its counts. */
 function countsIn(window: BurnWindow, account: ServiceBuckets, ageMilliseconds: number): WindowCounts {
 	const buckets = account.windows.find(item => item.window === window.name)?.buckets ?? [];
 	const inside = buckets.filter(([age]) => (age * window.bucketMilliseconds) + ageMilliseconds <= window.milliseconds);
@@ -135,12 +135,12 @@
 	return isBurning(windows, ['1h', '6h'], slowBurnRate) || isOverspending(windows.at(-1)!) ? 'slow-burn' : 'within-objective';
 }
 
-/** Above 1 over the longest window, once enough of it is known: a few bad calls after a start say little about a month. */
+/** True if the burn rate of the longest window exceeds 1 and at least a day of it is covered: a few bad calls after a start say little about a month. */
 function isOverspending(longest: WindowBurn): boolean {
 	return longest.coveredMilliseconds >= leastKnownMilliseconds && isBurning([longest], [longest.window], 1);
 }
 
-/** A bad call where the objective allows none has no rate and burns in any case. */
+/** Where the objective allows no bad call, the rate is null and any bad call counts as burning. */
 function isBurning(windows: readonly WindowBurn[], names: readonly BurnWindowName[], rate: number): boolean {
 	return names.every(name => {
 		const window = windows.find(item => item.window === name);
--- a/src/common/burn/burn-windows.ts
+++ b/src/common/burn/burn-windows.ts
@@ -1,8 +1,7 @@
-/** The windows of the burn report and how finely each is counted. */
+/** Windows of the burn report and the length of their buckets. */
 import {type Milliseconds} from '../model/units.ts';
 import {type BurnWindowName} from './types.ts';
 
-/** A window and the length of its buckets. */
 export type BurnWindow = {
 	readonly name: BurnWindowName;
 	readonly milliseconds: Milliseconds;
@@ -15,9 +14,9 @@
 const day = 24 * hour;
 
 /**
- * A window's sum holds its whole buckets and the present one, so it reaches back up to one bucket
- * further than its name says: 3.3% for five minutes, 1.7% for an hour, 1.4% for six, 0.4% for 30 days.
- * Finer buckets would cost memory for digits that no operator acts on: these take 406 a service.
+ * The sum of a window includes its full buckets and the current one, so it covers up to one bucket more than the window:
+ * 3.3 % for five minutes, 1.7 % for an hour, 1.4 % for six hours, 0.4 % for 30 days. Finer buckets would use memory for a
+ * precision that no operator needs; these need 406 buckets per service.
  */
 export const burnWindows: readonly BurnWindow[] = [
 	{name: '5m', milliseconds: 5 * minute, bucketMilliseconds: 10 * second},
--- a/src/common/burn/burn.test.ts
+++ b/src/common/burn/burn.test.ts
@@ -31,7 +31,7 @@
 	return report;
 }
 
-/** Calls spread over a stretch of time, of which every n-th is bad. */
+/** Counts 10,000 calls spread evenly between two instants; every `badEvery`-th is bad, none if 0. */
 function fill(ledger: BurnLedger, from: number, to: number, badEvery: number): void {
 	const calls = 10_000;
 	for (let index = 0; index < calls; index++) {
@@ -40,7 +40,7 @@
 }
 
 describe('burn', () => {
-	it('counts each call in each window until it has left it, to the width of a bucket', () => {
+	it('counts each call in every window until the call leaves it, to within one bucket', () => {
 		const call = fastCheck.record({gap: fastCheck.double({min: 0, max: 2 * day, noNaN: true}), isGood: fastCheck.boolean()});
 		fastCheck.assert(fastCheck.property(fastCheck.array(call, {maxLength: 200}), fastCheck.double({min: -1e9, max: 1e9, noNaN: true}), (calls, start) => {
 			const ledger = new BurnLedger();
@@ -62,7 +62,7 @@
 		}), {seed: 20_261_202, numRuns: 300});
 	});
 
-	it('judges rates by the short and the long window together', function () {
+	it('requires a high burn rate over the short and the long window', function () {
 		const histories: ReadonlyArray<readonly [string, (ledger: BurnLedger) => void]> = [
 			['no calls', () => undefined],
 			['all good', ledger => {
@@ -81,7 +81,7 @@
 				fill(ledger, 0, day - (6 * hour), 0);
 				fill(ledger, day - (6 * hour), day, 143);
 			}],
-			['0.2% bad for an hour, and nothing else known', ledger => {
+			['0.2% bad for an hour, no counts before', ledger => {
 				fill(ledger, day - hour, day, 500);
 			}],
 			['0.2% bad for a day', ledger => {
@@ -97,7 +97,7 @@
 		expect(lines).toMatchSnapshot(this);
 	});
 
-	it('has no rate where the objective allows no bad call, and says so by its verdict', () => {
+	it('reports a fast burn without a rate for a bad call where the objective allows none', () => {
 		const strict: Service = {...ordering, objective: {successShare: 1, latencyMilliseconds: 250}};
 		const ledger = new BurnLedger();
 		ledger.count('ordering', true, 0);
@@ -107,8 +107,8 @@
 		expect([line!.verdict, line!.budgetLeft, line!.windows[0]!.burnRate]).toEqual(['fast-burn', null, null]);
 	});
 
-	// Guards the burn report against counting a call once for each copy of a lost VM's counts.
-	it('counts each process once, by its newest word', function () {
+	// Fails if a call is counted once for each copy of a failed VM's counts.
+	it('counts each process once, by its newest counts', function () {
 		const living = new BurnLedger();
 		fill(living, 0, hour, 100);
 		const ended = new BurnLedger();
@@ -127,8 +127,8 @@
 		expect(reversed).toEqual(report);
 	});
 
-	// Guards the five-minute window against the counts of a VM that was lost long ago.
-	it('lets copies age', () => {
+	// Fails if the five-minute window still includes the counts of a VM that failed long ago.
+	it('drops the buckets of a copy from each window as they age', () => {
 		const ledger = new BurnLedger();
 		fill(ledger, 0, minute, 2);
 		const copies = new BurnCopies();
@@ -141,7 +141,7 @@
 		expect(badIn(1000 + (31 * day))).toEqual([0, 0, 0, 0]);
 	});
 
-	it('keeps the newest copy of a process, and the newest processes', () => {
+	it('stores the newest copy of each process and evicts the oldest process beyond the limit', () => {
 		const copies = new BurnCopies();
 		const ledger = new BurnLedger();
 		copies.keep(told('a', ledger, 0, 500), 0);
@@ -157,12 +157,12 @@
 		expect(copies.all(3000).length).toEqual(64);
 	});
 
-	it('reports measuring calls of a service that nobody has called', () => {
+	it('reports measuring calls of a service without calls', () => {
 		const [line] = reportOf({told: [told('a', new BurnLedger(), 0)]}).services;
 		expect([line!.verdict, line!.measuring]).toEqual(['no-calls', {spent: 7, allowed: 480}]);
 	});
 
-	it('forgets services that are declared no more', () => {
+	it('removes the counts of services that are no longer declared', () => {
 		const ledger = new BurnLedger();
 		ledger.count('ordering', true, 0);
 		ledger.count('archive', true, 0);
--- a/src/common/entry-vm/entry-vm.test.ts
+++ b/src/common/entry-vm/entry-vm.test.ts
@@ -17,7 +17,7 @@
 
 type Recorded = {readonly event: EntryVmEvent; readonly at: Instant};
 
-/** One VM whose store answers at once; everything it is told is recorded. */
+/** An entry VM whose store replies at once; records all events that the VM handles and all its effects. */
 class RecordedVm {
 	readonly told: Recorded[] = [];
 	readonly effects: EntryVmEffect[] = [];
@@ -101,10 +101,10 @@
 
 describe('EntryVm', () => {
 	/*
-	 * A lost order can't be found out, because the run can't be repeated. Order: events from outside with a seed go to
-	 * two objects. Cause: a decision by clock, chance or I/O of its own. All effects must be the same.
+	 * Guards against a run that cannot be reproduced, which happens if an engine reads the clock, draws unseeded random
+	 * numbers or does I/O. Two entry VMs with the same seed and the same external events must return the same effects.
 	 */
-	it('does the same again when it is told the same', () => {
+	it('returns the same effects for the same events and seed', () => {
 		const first = started(20_261_202);
 		for (let callId = 1; callId <= 50; callId += 1) {
 			call(first, callId);
@@ -119,10 +119,10 @@
 	});
 
 	/*
-	 * A backend server that stops still gets work. Order: it marks one answer as its last; other calls follow. Cause: the
-	 * mark stays with the call that saw it. Neither engine may place on it again, and the fleet must hear of it.
+	 * Guards against calls to a backend server that is stopping. The server marks one answer as leaving, and the mark takes
+	 * effect only for the call that received it. Later calls must go to other servers, and the fleet engine must receive the sign.
 	 */
-	it('takes the mark of leaving on an answer to both engines', () => {
+	it('forwards a leaving mark on an answer to both engines', () => {
 		const vm = started(7);
 		call(vm, 1);
 		const [leaving] = portsOfAttempts(vm);
--- a/src/common/entry-vm/entry-vm.ts
+++ b/src/common/entry-vm/entry-vm.ts
@@ -1,4 +1,4 @@
-/** A whole entry VM: the call engine and the fleet engine, and what each must know of the other. */
+/** An entry VM: combines the call engine and the fleet engine and forwards events between them. */
 import {
 	type CallEffect, type CallEngine, type CallEvent, type LoadUpdate,
 } from '../calls/types.ts';
@@ -8,7 +8,7 @@
 	type Decider, type EntryVmEffect, type EntryVmEvent, type OuterCallEffect, type OuterFleetEvent,
 } from './types.ts';
 
-/** A record, so that an event that is missing here does not compile: it would go to the call engine, which knows nothing of it. */
+/** A record rather than a set, so that a missing event type fails to compile: the event would go to the call engine, which does not handle it. */
 const fleetEventTypes: Readonly<Record<OuterFleetEvent['type'], true>> = {
 	started: true,
 	'store-replied': true,
@@ -36,20 +36,20 @@
 	'start-attempt', 'cancel-attempt', 'pass-on', 'break-off', 'refuse', 'measure', 'claim-key', 'release-key', 'rate-limit-changed', 'call-ended',
 ]);
 
-/** True for the effects that concern calls; the others concern the fleet. */
+/** Returns true for effects of the call engine; all others are effects of the fleet engine. */
 export function isCallEffect(effect: EntryVmEffect): effect is OuterCallEffect {
 	return callEffectTypes.has(effect.type);
 }
 
-/** What any fleet engine is to its VM. */
+/** The part of a fleet engine that an entry VM uses. */
 export type FleetDecider = Pick<FleetEngine, 'handle' | 'nextWakeUp'>;
 
-/** An event on its way to one of the engines. */
+/** An event from one engine that is queued for an engine. */
 type Inner = {readonly to: 'calls'; readonly event: CallEvent} | {readonly to: 'fleet'; readonly event: FleetEvent};
 
 /**
- * Decides everything that happens on one VM. What one engine tells the other is handled before the next
- * event from outside, so that a list of outer events with a seed replays the whole VM.
+ * Makes all decisions of one VM. Events between the engines are handled before the next event from outside, so that a list
+ * of external events and a seed reproduce a whole run.
  */
 export class EntryVm<Fleet extends FleetDecider = FleetEngine> implements Decider<EntryVmEvent, EntryVmEffect> {
 	readonly calls: CallEngine;
@@ -98,7 +98,7 @@
 		}
 	}
 
-	/** Each engine is woken only when it asked for it: a tick of the fleet would cost every busy millisecond of calls. */
+	/** Sends a tick only to engines whose wake-up is due. With many calls, a tick to the fleet engine would otherwise run every millisecond. */
 	private _tick(now: Instant): void {
 		if ((this.fleet.nextWakeUp() ?? Number.POSITIVE_INFINITY) <= now) {
 			this._tellFleet({type: 'tick'}, now);
@@ -123,7 +123,7 @@
 		}
 	}
 
-	/** A sign of leaving goes ahead of other updates: it must reach all within 2 s. */
+	/** Queues the leaving sign before the load update, because it must reach all VMs within 2 s. */
 	private _shareUpdate(update: LoadUpdate): void {
 		if (update.report?.isLeaving === true) {
 			this._inner.push({
@@ -131,7 +131,7 @@
 				event: {type: 'leaving-sign', sign: {identity: update.identity, instance: update.report.instance, source: 'answer'}},
 			});
 		} else if (update.report?.instance !== undefined) {
-			// Without it the fleet would pass on the sign of a process that was replaced, and bind its successor with it.
+			// Without this event the fleet engine would keep passing on the leaving sign of a replaced process and apply it to its successor.
 			this._inner.push({to: 'fleet', event: {type: 'returned', identity: update.identity, instance: update.report.instance}});
 		}
 
--- a/src/common/entry-vm/types.ts
+++ b/src/common/entry-vm/types.ts
@@ -1,45 +1,45 @@
 /**
- * The contract of a whole entry VM: one deterministic object, events in and effects out. An adapter for
- * another world (a test bench, a simulator) feeds the first and carries out the second.
+ * Interface of an entry VM: a deterministic state machine that takes events and returns effects. An adapter, such as the
+ * process's, a test's or a simulator's, passes in the events and executes the effects.
  */
 import {type CallEffect, type CallEvent} from '../calls/types.ts';
 import {type FleetEffect, type FleetEvent} from '../fleet/types.ts';
 import {type Instant} from '../model/units.ts';
 
-/** What the two engines tell each other; it never leaves the VM. */
+/** Events and effects that the two engines exchange; none leaves the entry VM. */
 type InnerCallEvent = 'configured' | 'shares' | 'peer-updates' | 'backend-server-leaving' | 'cut-off' | 'placing-held' | 'tick';
 type InnerFleetEvent = 'load-update' | 'leaving-sign' | 'own-load' | 'tick';
 type InnerFleetEffect = 'shares' | 'peer-updates' | 'backend-server-leaving';
 
-/** Events of calls that come from outside. */
+/** Events for the call engine from outside the entry VM. */
 export type OuterCallEvent = Exclude<CallEvent, {type: InnerCallEvent}>;
 
-/** Events of the fleet that come from outside. */
+/** Events for the fleet engine from outside the entry VM. */
 export type OuterFleetEvent = Exclude<FleetEvent, {type: InnerFleetEvent}>;
 
-/** Everything an entry VM is told. */
+/** Any event that an entry VM handles. */
 export type EntryVmEvent
 	= | OuterCallEvent
 		| OuterFleetEvent
-	/** Part of the time (0 to 1) for which the VM was busy lately; about twice a second. */
+	/** Share of recent time (0 to 1) for which the VM was busy; sent about twice a second. */
 		| {readonly type: 'utilisation'; readonly utilisation: number}
-	/** The time asked for by `nextWakeUp` has come. */
+	/** The instant returned by `nextWakeUp` has been reached. */
 		| {readonly type: 'tick'};
 
-/** Effects of calls that go outside. */
+/** Effects of the call engine that the adapter executes. */
 export type OuterCallEffect = Exclude<CallEffect, {type: 'tell-peers'}>;
 
-/** Effects of the fleet that go outside. */
+/** Effects of the fleet engine that the adapter executes. */
 export type OuterFleetEffect = Exclude<FleetEffect, {type: InnerFleetEffect}>;
 
-/** Everything an entry VM asks for. */
+/** Any effect that an entry VM returns. */
 export type EntryVmEffect = OuterCallEffect | OuterFleetEffect;
 
-/** An object that takes one event at a time and asks for a tick when time alone matters. */
+/** A state machine that handles one event at a time and returns the instant at which it needs a `tick`. */
 export type Decider<Event, Effect> = {
-	/** Takes an event at `now` and returns what is to be done, in order. */
+	/** Handles an event at `now` and returns the effects to execute, in order. */
 	handle(event: Event, now: Instant): readonly Effect[];
-	/** When it wants a `tick`; undefined = not before another event. */
+	/** Instant at which a `tick` is needed; undefined = none until another event has been handled. */
 	nextWakeUp(): Instant | undefined;
 };
 
--- a/src/common/errors/failure.ts
+++ b/src/common/errors/failure.ts
@@ -1,20 +1,19 @@
 /**
- * Failures as values: every one has a kind from a closed set, a sentence for people, and where it
- * applies the field at fault and the failure beneath it. They travel in neverthrow's `Result`.
+ * Failures as values. Each has a kind from a closed set, a message for people and, where applicable, the invalid field and
+ * the failure that caused it. Functions return them in neverthrow's `Result`.
  */
 import {Maybe} from 'true-myth/maybe';
 
-/** A typed failure; `Kind` is a union of string literals that its module declares. */
+/** A typed failure; `Kind` is a union of string literals declared by the module that returns it. */
 export type Failure<Kind extends string> = {
 	readonly kind: Kind;
-	/** One sentence for people: what was found and what is allowed. */
+	/** One sentence for people that states what was found and what is allowed. */
 	readonly message: string;
-	/** Path of the field at fault, such as `service.measuring.tailWeight`. */
+	/** Path of the invalid field, such as `service.measuring.tailWeight`. */
 	readonly field: Maybe<string>;
 	readonly cause: Maybe<Failure<string>>;
 };
 
-/** Makes a failure. */
 export function failure<Kind extends string>(
 	kind: Kind,
 	message: string,
@@ -28,7 +27,7 @@
 	};
 }
 
-/** The failure and those beneath it as one line for logs and terminals. */
+/** Formats a failure and its chain of causes as one line for logs and terminals. */
 export function describeFailure(value: Failure<string>): string {
 	const place = value.field.match({Just: field => `${field}: `, Nothing: () => ''});
 	const cause = value.cause.match({Just: beneath => `; caused by ${describeFailure(beneath)}`, Nothing: () => ''});
--- a/src/common/lifecycle/disposable.test.ts
+++ b/src/common/lifecycle/disposable.test.ts
@@ -2,7 +2,7 @@
 import {DisposableStore, MutableDisposable, toDisposable} from './disposable.ts';
 
 describe('disposables', () => {
-	it('ends members together, the latest first, each once', function () {
+	it('disposes all items once, in reverse order of registration', function () {
 		const log: string[] = [];
 		const store = new DisposableStore();
 		const first = store.add(toDisposable(() => log.push('first')));
@@ -14,7 +14,7 @@
 		expect(log).toMatchSnapshot(this);
 	});
 
-	it('replaces the value of a mutable disposable', function () {
+	it('disposes the previous value of a mutable disposable', function () {
 		const log: string[] = [];
 		const holder = new MutableDisposable();
 		holder.value = toDisposable(() => log.push('one'));
--- a/src/common/lifecycle/disposable.ts
+++ b/src/common/lifecycle/disposable.ts
@@ -1,9 +1,9 @@
 /**
- * Ownership and clean-up. Whoever makes a timer, socket, listener or subscription registers it with
- * its own store in the same statement, so that no path can leak one.
+ * Ownership and clean-up of resources. Code that creates a timer, socket, listener or subscription registers it with its
+ * own store in the same statement, so that no code path leaks it.
  */
 
-/** Something that holds a resource until it is disposed. Disposing twice is harmless. */
+/** An object that holds a resource until it is disposed. Disposing it again has no effect. */
 export type DisposableLike = {
 	dispose(): void;
 };
@@ -23,7 +23,7 @@
 	};
 }
 
-/** Gathers disposables and ends them together, the latest first. */
+/** A collection of disposables that are disposed together, in reverse order of registration. */
 export class DisposableStore implements DisposableLike {
 	private readonly _items = new Set<DisposableLike>();
 	private _isDisposed = false;
@@ -33,12 +33,12 @@
 		return this._isDisposed;
 	}
 
-	/** The number of live members; a soak run prints it to show that nothing piles up. */
+	/** Number of registered disposables; a soak run prints it to detect leaks. */
 	get size(): number {
 		return this._items.size;
 	}
 
-	/** Takes ownership and returns the item. An item added after the end is disposed at once. */
+	/** Takes ownership of the item and returns it. An item added after the store was disposed is disposed at once. */
 	add<T extends DisposableLike>(item: T): T {
 		if (this._isDisposed) {
 			item.dispose();
@@ -49,7 +49,7 @@
 		return item;
 	}
 
-	/** Disposes one member early and forgets it. */
+	/** Disposes one item and removes it. */
 	delete(item: DisposableLike): void {
 		if (this._items.delete(item)) {
 			item.dispose();
@@ -66,7 +66,7 @@
 	}
 }
 
-/** Holds at most one disposable; a new value ends the old one. */
+/** Holds at most one disposable; setting a new value disposes the previous one. */
 export class MutableDisposable<T extends DisposableLike> implements DisposableLike {
 	private _value: T | undefined;
 	private _isDisposed = false;
@@ -97,7 +97,7 @@
 	}
 }
 
-/** Base class for owners: members are registered at the moment they are made. */
+/** Base class for objects that own disposables and register them on creation. */
 export abstract class Disposable implements DisposableLike {
 	protected readonly _store = new DisposableStore();
 
--- a/src/common/lifecycle/emitter.ts
+++ b/src/common/lifecycle/emitter.ts
@@ -1,10 +1,10 @@
-/** Typed events: a class keeps its emitter private and shows only the `event` side. */
+/** Typed events. A class keeps its emitter private and exposes only the emitter's `event`. */
 import {type DisposableLike, toDisposable} from './disposable.ts';
 
-/** Subscribes a listener; disposing the answer unsubscribes it. */
+/** Subscribes a listener; disposing the returned object unsubscribes it. */
 export type Event<T> = (listener: (value: T) => void) => DisposableLike;
 
-/** The firing side of an event. */
+/** Fires an event to its listeners. */
 export class Emitter<T> implements DisposableLike {
 	private readonly _listeners = new Set<(value: T) => void>();
 
--- a/src/common/model/resources.ts
+++ b/src/common/model/resources.ts
@@ -1,6 +1,6 @@
 /**
- * The resources that operators declare. Every type is inferred from its schema, so what the API
- * checks and what the code reads cannot drift apart.
+ * Resources that operators declare. Types are inferred from the schemas, so the API's checks and the types in the code
+ * cannot diverge.
  */
 import * as z from 'zod';
 
@@ -10,47 +10,47 @@
 	'1 to 63 lower-case letters, digits and dashes, no dash at either end',
 );
 
-/** Measuring: what the operator allows to be spent on each backend server by the whole fleet. */
+/** Settings and budget of measuring calls, which probe a backend server's load. The budget applies to each backend server across the whole fleet. */
 export const measuringSchema = z.strictObject({
-	/** Measuring calls that one backend server may get from all VMs together in any window. */
+	/** Maximum number of measuring calls that one backend server receives from all VMs together in any window. */
 	callsPerWindow: z.int().min(0).max(100_000).default(240),
 	/** Length of the sliding window in milliseconds. */
 	windowMilliseconds: z.int().min(1000).max(600_000).default(10_000),
 	/**
-	 * 0 = measure as little as possible, 1 = spend the budget for the best tail latency. Between the
-	 * two the share of the budget that may be spent grows linearly.
+	 * 0 = as few measuring calls as possible, 1 = the full budget, for the best tail latency. The usable share of the budget
+	 * grows linearly between the two.
 	 */
 	tailWeight: z.number().min(0).max(1).default(1),
 	/**
-	 * `paced` = by the clock, in shares that VMs claim. `on-demand` = a few candidates before each attempt, for load
-	 * that shifts faster than any clock could follow; the budget is then split evenly over the VMs.
+	 * `paced` = at regular intervals, within the budget share that each VM has claimed. `on-demand` = a few candidates before
+	 * each attempt, for load that changes faster than the intervals; the budget is then divided evenly among the VMs.
 	 */
 	mode: z.enum(['paced', 'on-demand']).default('paced'),
-	/** Path of the load endpoint at the backend servers. */
+	/** Path of the load endpoint on the backend servers. */
 	path: z.string().regex(/^\/[\u0021-\u007E]*$/v, 'a path such as /load').default('/load'),
 });
 
-/** A service: a set of backend servers and the rules for calls to it. */
+/** A service: a set of backend servers and the rules for calls to them. */
 export const serviceSchema = z.strictObject({
 	kind: z.literal('service'),
 	name: nameSchema,
-	/** Milliseconds a call may take when its caller names no deadline. */
+	/** Time-out of a call whose caller sets no deadline, in milliseconds. */
 	timeoutMilliseconds: z.int().min(1).max(3_600_000).default(5000),
-	/** Methods that may be sent again after a failure (RFC 9110, 9.2.2, unless the operator narrows it). */
+	/** Methods that may be retried after a failure; by default the idempotent methods of RFC 9110, 9.2.2, without TRACE. */
 	idempotentMethods: z.array(z.string()).default(['GET', 'HEAD', 'OPTIONS', 'PUT', 'DELETE']),
-	/** Calls with an Idempotency-Key claim it in the platform's service before they run. */
+	/** Whether a call with an Idempotency-Key claims the key in the platform's service before it runs. */
 	claimsIdempotencyKeys: z.boolean().default(false),
-	/** 0 (least) to 9 (most): who is refused first when several services want the same backend servers. */
+	/** Priority from 0 (lowest) to 9 (highest). When several services compete for the same backend servers, calls of the lowest priority are refused first. */
 	priority: z.int().min(0).max(9).default(5),
-	/** Most calls of this service waiting on one VM. */
+	/** Maximum number of queued calls of this service on one VM. */
 	queueLimit: z.int().min(0).max(100_000).default(200),
-	/** Retries and hedges allowed as a share of this service's own calls on each VM. */
+	/** Maximum retries and hedges as a share of this service's calls on each VM. */
 	retryShare: z.number().min(0).max(1).default(0.1),
-	/** Objective for the report on service-level burn. */
+	/** Service-level objective used by the burn report. */
 	objective: z.strictObject({
-		/** Share of calls that must succeed in time. */
+		/** Share of calls that must succeed within the latency. */
 		successShare: z.number().min(0).max(1).default(0.999),
-		/** A call slower than this counts against the objective. */
+		/** A call that takes longer counts as bad. */
 		latencyMilliseconds: z.number().positive().default(250),
 	}).prefault({}),
 	measuring: measuringSchema.prefault({}),
@@ -65,28 +65,27 @@
 	address: z.union([z.ipv4(), z.ipv6()], 'an IP number such as 10.0.0.1 or fd00::1'),
 	port: z.int().min(1).max(65_535),
 	dataCentre: nameSchema,
-	/** Calls that it runs at once. */
+	/** Number of calls that it runs concurrently. */
 	slots: z.int().min(1).max(10_000).default(6),
-	/** Connections it accepts from all VMs together. */
+	/** Maximum number of connections that it accepts from all VMs together. */
 	connectionLimit: z.int().min(1).max(100_000).default(250),
-	/** Milliseconds from its first appearance in which it is slower than usual; undefined = the engine's own guess. */
+	/** Time after its first appearance for which it is slower than usual, in milliseconds; undefined = the call engine's estimate. */
 	warmingMilliseconds: z.number().min(0).max(3_600_000).optional(),
-	/** The operator's order to leave: no new work, calls in flight finish. */
+	/** Set by the operator to drain it: no new calls, calls in flight finish. */
 	isLeaving: z.boolean().default(false),
 });
 
-/** A rule for sharing work: what one caller may take, and how far work may travel. */
+/** A rule that limits one caller's share of a VM and the use of other data centres. */
 export const sharingRuleSchema = z.strictObject({
 	kind: z.literal('sharing-rule'),
 	name: nameSchema,
 	service: nameSchema,
-	/** Most of a VM's queue and concurrency for the service that one caller may hold while others wait. */
+	/** Maximum share of a VM's queue and concurrency for the service that one caller may hold while other callers wait. */
 	callerShare: z.number().min(0.01).max(1).default(0.5),
-	/** Load of the local data centre (0 to 1) above which calls begin to go elsewhere. */
+	/** Load of the local data centre (0 to 1) above which calls overflow to other data centres. */
 	overflowAt: z.number().min(0).max(1).default(0.8),
 });
 
-/** Any declared resource. */
 export const resourceSchema = z.discriminatedUnion('kind', [serviceSchema, backendServerSchema, sharingRuleSchema]);
 
 export type Service = z.infer<typeof serviceSchema>;
@@ -95,30 +94,29 @@
 export type Resource = z.infer<typeof resourceSchema>;
 export type ResourceKind = Resource['kind'];
 
-/** Names a resource among all: kind and name. */
+/** Unique key of a resource: `KIND/NAME`. */
 export type ResourceKey = `${ResourceKind}/${string}`;
 
-/** The key of a resource. */
 export function resourceKey(resource: {kind: ResourceKind; name: string}): ResourceKey {
 	return `${resource.kind}/${resource.name}`;
 }
 
 /**
- * What the system adds to a resource. `identity` is new when a resource is deleted and made again
- * under its name, so that reports, signs of leaving and watches of the old one never bind the new one.
+ * Metadata that the system adds to a resource. A resource that is deleted and created again under the same name gets a new
+ * `identity`, so that reports, leaving signs and watches of the old one never apply to the new one.
  */
 export const resourceMetadataSchema = z.strictObject({
-	/** 128 random bits in base64url, made at creation. */
+	/** 128 random bits in base64url, generated at creation. */
 	identity: z.string().length(22),
-	/** Configuration version at which it was created. */
+	/** Configuration version that created the resource. */
 	createdAt: z.int().min(1),
-	/** Configuration version of its latest change: what compare-and-swap is checked against. */
+	/** Configuration version of the resource's latest change; compare-and-swap is checked against it. */
 	version: z.int().min(1),
-	/** Grows with each change of this resource. */
+	/** Increases with each change of the resource. */
 	generation: z.int().min(1),
 });
 export type ResourceMetadata = z.infer<typeof resourceMetadataSchema>;
 
-/** A resource as it is in force. */
+/** A resource in force, with its metadata. */
 export const storedResourceSchema = z.strictObject({resource: resourceSchema, metadata: resourceMetadataSchema});
 export type StoredResource = z.infer<typeof storedResourceSchema>;
--- a/src/common/model/units.ts
+++ b/src/common/model/units.ts
@@ -1,12 +1,12 @@
-/** Units of time and chance that decisions are handed from outside. */
+/** Types for the time and random numbers that are passed into the engines. */
 
-/** Milliseconds on a monotonic clock that starts anywhere; fractions allowed. Never wall-clock time. */
+/** Milliseconds on a monotonic clock with an arbitrary origin; may be fractional. Never wall-clock time. */
 export type Instant = number;
 
-/** A span in milliseconds. */
+/** A duration in milliseconds. */
 export type Milliseconds = number;
 
-/** A source of random numbers in [0, 1): seeded, so that a run can be repeated. */
+/** A seeded source of random numbers in [0, 1); the seed makes a run reproducible. */
 export type RandomSource = {
 	next(): number;
 };
--- a/src/common/settings/closest-name.ts
+++ b/src/common/settings/closest-name.ts
@@ -1,11 +1,11 @@
 /** Suggestions for mistyped words on the command line, in settings and in resources. */
 
-/** More edits than this and a suggestion would be a guess. */
+/** Maximum number of edits for a suggestion; beyond it the match is arbitrary. */
 const mostEdits = 3;
-/** One edit in so many letters is a slip; more of them make another word. */
+/** One edit is allowed for each of so many letters; with more edits it is probably a different word. */
 const lettersForAnEdit = 3;
 
-/** The candidate that is fewest edits away from the word; undefined if none is near. */
+/** Returns the candidate with the smallest edit distance to the word; undefined if none is within the limit. */
 export function closestName(word: string, candidates: readonly string[]): string | undefined {
 	const allowed = Math.min(mostEdits, Math.max(1, Math.floor(word.length / lettersForAnEdit)));
 	let best: string | undefined;
@@ -21,7 +21,7 @@
 	return best;
 }
 
-/** Insertions, deletions, replacements and swaps of neighbours (optimal string alignment), row by row. */
+/** Counts insertions, deletions, replacements and swaps of adjacent letters (optimal string alignment distance), computed row by row. */
 function editDistance(from: string, to: string): number {
 	let before: number[] = [];
 	let row = Array.from({length: to.length + 1}, (_, index) => index);
--- a/src/common/settings/entry-settings.ts
+++ b/src/common/settings/entry-settings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of an entry VM whose fleet is led by the platform's store. The schema is the only description of them:
- * types, defaults, checks and the operators' reference come from it.
+ * Settings of an entry VM in a fleet that is coordinated through the platform's store. Types, defaults, checks and the
+ * operators' reference are all derived from this schema.
  */
 import * as z from 'zod';
 import {defaultLeaseMilliseconds} from '../registry/vm-loss-budget.ts';
@@ -62,7 +62,7 @@
 	level: z.enum(['trace', 'debug', 'info', 'warn', 'error']).default('info').describe('Least important level that is written.'),
 });
 
-/** Everything that an entry VM reads from its settings file. */
+/** The settings file of an entry VM. */
 export const entrySettingsSchema = z.strictObject({
 	vm: vmSchema,
 	listen: listenSchema,
--- a/src/common/settings/schema-failures.ts
+++ b/src/common/settings/schema-failures.ts
@@ -1,15 +1,15 @@
 /**
- * Turns what a zod schema found wrong into failures that name the place, what was found and what is
- * allowed. Used for settings files, tokens files and resources alike, so that all read the same.
+ * Converts zod issues to failures that name the field, the value found and the allowed values. Settings files, tokens files
+ * and resources all use it, so their error messages have the same form.
  */
 import * as z from 'zod';
 import {failure, type Failure} from '../errors/failure.ts';
 import {closestName} from './closest-name.ts';
 
-/** The kinds of fault that a schema can find. */
+/** Kinds of invalid input. */
 export type InputFailureKind = 'missing' | 'unknown-key' | 'not-allowed';
 
-/** One fault of an input; `field` is its path, such as `peers.seeds[1]`. */
+/** One error in an input; `field` is its path, such as `peers.seeds[1]`. */
 export type InputFailure = Failure<InputFailureKind>;
 
 type Issue = z.core.$ZodIssue;
@@ -19,12 +19,12 @@
 const secretKeys = new Set<PropertyKey>(['token']);
 const longestFound = 60;
 
-/** Every fault that the schema found, in the order of the schema. */
+/** Returns all errors that the schema found, in the order of the schema. */
 export function inputFailures(error: z.ZodError, input: unknown, schema: z.ZodType): InputFailure[] {
 	return error.issues.flatMap(issue => issueFailures(issue, input, schema));
 }
 
-/** A path for people: `peers.seeds[1]`. */
+/** Formats a path for people, such as `peers.seeds[1]`. */
 export function formatPath(path: Path): string {
 	let text = '';
 	for (const step of path) {
@@ -57,7 +57,7 @@
 	return failure('unknown-key', `found unknown key "${key}"; allowed: ${known.join(', ')}${hint}`, {field: formatPath(path)});
 }
 
-/** zod's own sentences begin so; any other message was written in the schema and says it better. */
+/** Matches zod's default messages. Any other message comes from the schema and is more specific. */
 const defaultMessage = /^(?:Invalid|Too|Unrecognized|Expected)\b/v;
 
 function describeAllowed(issue: Issue): string {
@@ -104,7 +104,7 @@
 	return values.map(value => typeof value === 'string' ? JSON.stringify(value) : String(value)).join(' or ');
 }
 
-/** A hint for a mistyped word where the allowed words are listed. */
+/** Returns a suggestion for a mistyped value of an enumeration; empty if there is none. */
 function suggestWord(issue: Issue, found: unknown): string {
 	const choices = choicesOf(issue);
 	const suggestion = typeof found === 'string' ? closestName(found, choices.filter(choice => typeof choice === 'string')) : undefined;
@@ -162,7 +162,7 @@
 	return text.length > longestFound ? `${text.slice(0, longestFound)}…` : text;
 }
 
-/** The keys that the schema allows at a path; a union is narrowed by the input's discriminator. */
+/** Returns the keys that the schema allows at a path; a union is narrowed by the input's discriminator. */
 function knownKeys(schema: z.ZodType, path: Path, input: unknown): string[] {
 	let node: unknown = unwrap(schema, input);
 	let value = input;
@@ -174,7 +174,7 @@
 	return node instanceof z.ZodObject ? Object.keys(node.shape) : [];
 }
 
-/** Takes defaults, optionals and unions off a schema. */
+/** Removes default, optional and union wrappers from a schema. */
 function unwrap(node: unknown, value: unknown): unknown {
 	if (node instanceof z.ZodDefault || node instanceof z.ZodPrefault || node instanceof z.ZodOptional) {
 		return unwrap(node.unwrap(), value);
--- a/src/common/settings/settings-reference.ts
+++ b/src/common/settings/settings-reference.ts
@@ -1,4 +1,4 @@
-/** The operators' reference of settings, made from the schema, so that page and program cannot differ. */
+/** Generates the operators' settings reference from the schema, so that the page and the program cannot differ. */
 import {z} from 'zod';
 
 const nodeSchema = z.looseObject({
@@ -13,7 +13,7 @@
 });
 type Node = z.infer<typeof nodeSchema>;
 
-/** A Markdown table for each table of the settings file: key, allowed values, default, meaning. */
+/** Returns the lines of one Markdown table for each table of the settings file: key, allowed values, default, meaning. */
 export function settingsReference(schema: z.ZodType): string[] {
 	const root = nodeSchema.parse(z.toJSONSchema(schema, {io: 'input', unrepresentable: 'any'}));
 	return sectionLines('', root);
--- a/src/common/settings/settings.ts
+++ b/src/common/settings/settings.ts
@@ -1,7 +1,6 @@
 /**
- * The settings of one VM's daemon. The schema is the only description of them: types, defaults,
- * checks and the operators' reference all come from it. Nothing here is shared by VMs; what the
- * fleet agrees on lives in the platform's service.
+ * Settings of one VM's daemon. Types, defaults, checks and the operators' reference are all derived from this schema.
+ * These settings apply to one VM only; the configuration shared by the fleet is stored in the platform's service.
  */
 import * as z from 'zod';
 import {nameSchema} from '../model/resources.ts';
@@ -49,11 +48,14 @@
 }).refine(isTlsDecided, {
 	path: ['tls'],
 	error: 'one of two: a [peers.tls] table, or plain = true',
-	// Also runs when another key of the table is wrong: every error is told at once.
+	// Run also when another key of the table is invalid, so that all errors are reported at once.
 	when: () => true,
 });
 
-/** Sees the input as it came: a lacking or malformed table is told by the schema itself. */
+/**
+ * Returns true if the input has either a `tls` table or `plain = true`, not both. Runs on unchecked input; returns true for a
+ * missing or malformed `peers` table, which the schema reports itself.
+ */
 function isTlsDecided(peers: unknown): boolean {
 	if (typeof peers !== 'object' || peers === null) {
 		return true;
@@ -99,7 +101,7 @@
 	keepForMilliseconds: z.int().min(100).max(oneDay).default(5000).describe('How long callers may keep the answer to "which addresses"; a stopping VM serves on for at least as long.'),
 });
 
-/** Everything a daemon reads from its settings file. */
+/** The settings file of a daemon. */
 export const settingsSchema = z.strictObject({
 	vm: vmSchema,
 	callers: callersSchema,
@@ -116,11 +118,11 @@
 export type Settings = z.infer<typeof settingsSchema>;
 export type LogLevel = Settings['log']['level'];
 
-/** What an operator may do. */
+/** Permissions of an operator. */
 export const roleSchema = z.enum(['read', 'write']);
 export type OperatorRole = z.infer<typeof roleSchema>;
 
-/** An operator as the tokens file names it. */
+/** One operator in the tokens file. */
 export const operatorTokenSchema = z.strictObject({
 	name: nameSchema.describe('Who it is; stands in the history of changes.'),
 	role: roleSchema.describe('read = look; write = look and change.'),
--- a/src/layering.test.ts
+++ b/src/layering.test.ts
@@ -21,16 +21,16 @@
 }
 
 describe('layering', () => {
-	it('keeps src/common free of the platform layers, sockets, clock and chance', () => {
+	it('keeps src/common free of platform layers, sockets, clocks and random numbers', () => {
 		const forbidden = /^node:|^(?:node|daemon|cli|stand-ins|demo|proof)\/|^(?:undici|hono|@hono|@grpc|hot-shots|tslog)/v;
 		const wrong = sources('common').flatMap(file => [
 			...imports(file).filter(target => forbidden.test(target)).map(target => `${file} imports ${target}`),
-			...(clockPattern.test(readFileSync(join(sourceFolder, file), 'utf8')) ? [`${file} uses clock or chance`] : []),
+			...(clockPattern.test(readFileSync(join(sourceFolder, file), 'utf8')) ? [`${file} uses a clock or random numbers`] : []),
 		]);
 		expect(wrong).toEqual([]);
 	});
 
-	it('keeps the adapters of src/node free of the programs built on them', () => {
+	it('keeps the adapters of src/node independent of the programs that use them', () => {
 		const wrong = sources('node').flatMap(file =>
 			imports(file).filter(target => /^(?:daemon|cli|stand-ins|demo|proof)\//v.test(target)).map(target => `${file} imports ${target}`));
 		expect(wrong).toEqual([]);
--- a/src/node/clock.ts
+++ b/src/node/clock.ts
@@ -1,16 +1,15 @@
-/** The one place where time enters: a monotonic clock and timers on it. */
+/** Monotonic clock and one-shot timers; the engines receive time only from here. */
 import {performance} from 'node:perf_hooks';
 import {type DisposableLike, toDisposable} from '../common/lifecycle/disposable.ts';
 import {type Instant, type Milliseconds} from '../common/model/units.ts';
 
-/** A monotonic clock with one-shot timers. */
 export type Clock = {
 	now(): Instant;
-	/** Runs the callback once after the span; disposing the answer calls it off. */
+	/** Runs the callback once after the given time; disposing the returned object cancels it. */
 	after(span: Milliseconds, callback: () => void): DisposableLike;
 };
 
-/** The clock of this process. */
+/** Clock based on `performance.now` and `setTimeout`. */
 export class ProcessClock implements Clock {
 	now(): Instant {
 		return performance.now();
--- a/src/node/decider-loop.ts
+++ b/src/node/decider-loop.ts
@@ -1,18 +1,18 @@
-/** Feeds a decider one event at a time, has its effects carried out, and wakes it when it asks for it. */
+/** Runs a decider: passes it one event at a time, executes its effects and sends a tick at its wake-up time. */
 import {type Decider} from '../common/entry-vm/types.ts';
 import {Disposable, type DisposableLike, MutableDisposable} from '../common/lifecycle/disposable.ts';
 import {type Instant} from '../common/model/units.ts';
 import {type Clock} from './clock.ts';
 
-/** Takes events; they are handled in order, one at a time. */
+/** Accepts events, which are handled in order, one at a time. */
 export type EventSink<Event> = {
 	feed(event: Event): void;
 };
 
-/** Carries one effect out; what comes of it is fed back. */
+/** Executes one effect and feeds its results back to the loop as events. */
 export type Carrier<Effect> = (effect: Effect) => void;
 
-/** The loop round one decider: one loop on one thread. */
+/** Event loop of one decider, on one thread. */
 export class DeciderLoop<Event, Effect> extends Disposable implements EventSink<Event | {readonly type: 'tick'}> {
 	private readonly _decider: Decider<Event | {readonly type: 'tick'}, Effect>;
 	private readonly _clock: Clock;
@@ -29,7 +29,7 @@
 		this._clock = clock;
 	}
 
-	/** Names who carries effects out. Carriers feed the loop, so they are made after it. */
+	/** Sets the executor of effects. A setter, because executors feed the loop and are therefore created after it. */
 	setCarrier(carrier: Carrier<Effect>): void {
 		this._carrier = carrier;
 	}
@@ -40,8 +40,8 @@
 	}
 
 	/**
-	 * Effects can cause events at once (a refused connection, a caller that is gone); those wait here,
-	 * so that the decider never sees an event in the middle of another.
+	 * Handles an event, or queues it if another is being handled: executing an effect can cause events synchronously, such as a
+	 * refused connection or a disconnected caller, and the decider must not be re-entered.
 	 */
 	feed(event: Event | {readonly type: 'tick'}): void {
 		this._pending.push(event);
@@ -64,8 +64,8 @@
 	}
 
 	/**
-	 * A timer that is early enough stays: most events move the next wake-up to later, and resetting a
-	 * timer with each of them costs more than one wake-up for nothing.
+	 * Sets the timer for the next wake-up, unless one is set for that instant or earlier. Most events postpone the wake-up, and
+	 * resetting the timer each time costs more than one unnecessary tick.
 	 */
 	private _schedule(): void {
 		const wakeUpAt = this._decider.nextWakeUp();
--- a/src/node/early-listener.test.ts
+++ b/src/node/early-listener.test.ts
@@ -7,9 +7,9 @@
 import {ReadinessGate} from './front/readiness-gate.ts';
 import {listenOn} from './listening.ts';
 
-describe('a listener that is open before its server is there', () => {
-	// Guards callers against refused connections between the start of a process and the loading of its program.
-	it('keeps those who come early, and hands them and later ones to the server', async () => {
+describe('a listener that opens before its server exists', () => {
+	// Fails if connections are refused between the start of a process and the loading of its program.
+	it('holds early connections and passes them and later ones to the server', async () => {
 		const owned = new DisposableStore();
 		const [port] = await freePorts(1);
 		const listener = new EarlyListener(port!, '127.0.0.1', 16);
@@ -33,7 +33,7 @@
 		owned.dispose();
 	});
 
-	it('leaves the failure to the server where the address is taken', async () => {
+	it('leaves reporting an occupied address to the server', async () => {
 		const owned = new DisposableStore();
 		const [port] = await freePorts(1);
 		const other = createServer();
@@ -51,9 +51,9 @@
 	});
 });
 
-describe('the hold of a VM that is starting', () => {
-	// Guards callers against a refusal a moment before the VM has read its configuration.
-	it('keeps those who come until it ends, and nobody afterwards', () => {
+describe('the readiness gate of a starting VM', () => {
+	// Fails if calls are refused just before the VM has read its configuration.
+	it('holds calls until it opens, and none afterwards', () => {
 		const hold = new ReadinessGate();
 		const seen: string[] = [];
 		hold.whenReady(() => seen.push('kept'));
@@ -64,8 +64,8 @@
 		hold.dispose();
 	});
 
-	// Guards callers against being held while no configuration comes.
-	it('lets everybody go after a fifth of a second', async () => {
+	// Fails if calls are held indefinitely when no configuration arrives.
+	it('opens by itself after a time-out of a fifth of a second', async () => {
 		const hold = new ReadinessGate();
 		await new Promise<void>(resolve => {
 			hold.whenReady(resolve);
--- a/src/node/early-listener.ts
+++ b/src/node/early-listener.ts
@@ -1,28 +1,28 @@
-/** Listeners that open before the program is loaded. */
+/** Listeners that open before the main program has loaded. */
 import {type Server as HttpServer} from 'node:http';
 import {createServer, type Server, type Socket} from 'node:net';
 
 /**
- * Guards callers against the moment in which a VM's address is there and its program is not loaded yet: their connections
- * were refused, and a caller that tries twice has then spent both tries. Connections that come early wait here and are
- * handed to the server that answers them. The loading of the program is half of a start (`npm run start-time`).
+ * Accepts connections while the program is still loading and passes them to the server later. Otherwise connections would
+ * be refused while the VM's address is already reachable, and a caller that tries twice would use up both tries. Loading
+ * the program takes half of the start-up time (`npm run start-time`).
  */
 export class EarlyListener {
 	private readonly _listener: Server;
 	private readonly _waiting: Socket[] = [];
 
-	/** Opens at once; a failure is told by the server that listens there later. `backlog` = connections that the system keeps. */
+	/** Starts to listen. A failure is reported later by the server that listens on the same address. `backlog` = connections that the kernel queues. */
 	constructor(port: number, address: string, backlog: number) {
 		this._listener = createServer({pauseOnConnect: true, noDelay: true}, socket => {
 			this._waiting.push(socket);
 		});
 		this._listener.on('error', () => {
-			// Not listening now, so `listenOn` tries the address again, and tells the failure: it has a log to write to.
+			// Ignored here: `listenOn` tries the address again and returns the failure to code that can log it.
 		});
 		this._listener.listen(port, address, backlog);
 	}
 
-	/** The server takes the listener over, with those who wait; false = the listener is not open. */
+	/** Transfers the listener and its waiting connections to the server. Returns false if the listener is not open. */
 	handTo(server: HttpServer, backlog: number | undefined, onListening: () => void): boolean {
 		if (!this._listener.listening) {
 			return false;
--- a/src/node/entropy.ts
+++ b/src/node/entropy.ts
@@ -7,8 +7,8 @@
 const bytesOfSeed = 4;
 
 /**
- * Unpredictable bytes. Read from the kernel itself: loading node's crypto module for them took 8 of the 84 ms of an
- * entry VM's start by node's profile of it (`--cpu-prof`), and calls wait until it is over.
+ * Returns unpredictable bytes. Read directly from the kernel: loading node's crypto module takes 8 of the 84 ms of an entry
+ * VM's start (`--cpu-prof`), during which calls wait.
  */
 export function entropyBytes(count: number): Buffer {
 	const bytes = Buffer.alloc(count);
@@ -22,7 +22,7 @@
 	return bytes;
 }
 
-/** A seed for a generator, 32 bits. */
+/** Returns a 32-bit seed for a random number generator. */
 export function entropySeed(): number {
 	return entropyBytes(bytesOfSeed).readUInt32LE();
 }
--- a/src/node/listening.ts
+++ b/src/node/listening.ts
@@ -1,18 +1,18 @@
-/** Opening a listener: a server listens on an address of this VM, or a typed failure says why not. */
+/** Opens listeners and returns a typed failure if that is impossible. */
 import {type Server} from 'node:http';
 import {err, ok, type Result} from 'neverthrow';
 import {failure, type Failure} from '../common/errors/failure.ts';
 import {type EarlyListener} from './early-listener.ts';
 
-/** How a listener is opened. */
+/** Options of a listener. */
 export type ListenOptions = {
-	/** Connections that may wait to be taken. */
+	/** Number of connections that the kernel queues until they are accepted. */
 	readonly backlog?: number | undefined;
-	/** A listener at this address that was opened before. */
+	/** A listener that is already open on this address. */
 	readonly early?: EarlyListener | undefined;
 };
 
-/** Resolves with the port, which the system has chosen where `port` is 0. */
+/** Resolves with the port; the system chooses it if `port` is 0. */
 export async function listenOn(server: Server, port: number, address: string, {backlog, early}: ListenOptions = {}): Promise<Result<number, Failure<'cannot-listen'>>> {
 	return new Promise(resolve => {
 		const onError = (error: Error) => {
