--- a/src/node/api/fake-gateway.test.ts
+++ b/src/node/api/fake-gateway.test.ts
@@ -1,4 +1,4 @@
-/** A system of one VM in memory, for tests of the resource API and the command line. */
+/** An in-memory gateway for tests of the resource API and the command line. */
 import {err, ok, type Result} from 'neverthrow';
 import {Maybe} from 'true-myth/maybe';
 import {type BurnReport} from '../../common/burn/types.ts';
@@ -12,7 +12,7 @@
 	type OperatorGateway, type QuarantineEntry, type ResourcesInForce, type Status, type VmStatus, type WatchUpdate,
 } from './types.ts';
 
-/** What the fake's store does with the next write. */
+/** Simulated state of the store, which determines the outcome of writes. */
 export type StoreMood = 'well' | 'loses-answers' | 'loses-writes' | 'out';
 
 export class FakeGateway implements OperatorGateway {
--- a/src/node/api/operator-directory.ts
+++ b/src/node/api/operator-directory.ts
@@ -1,9 +1,9 @@
-/** Who may use the resource API. */
+/** Authenticates the operators of the resource API. */
 import {createHash, timingSafeEqual} from 'node:crypto';
 import {Maybe} from 'true-myth/maybe';
 import {type OperatorRole, type OperatorToken} from '../../common/settings/settings.ts';
 
-/** An operator whose token was recognised. */
+/** An authenticated operator. */
 export type Operator = {
 	readonly name: string;
 	readonly role: OperatorRole;
@@ -11,7 +11,7 @@
 
 type Entry = Operator & {readonly digest: Buffer};
 
-/** Recognises operators by their bearer tokens; keeps only digests of them. */
+/** Identifies operators by their bearer tokens, of which it stores only digests. */
 export class OperatorDirectory {
 	private readonly _entries: readonly Entry[];
 
@@ -20,10 +20,10 @@
 	}
 
 	/**
-	 * The operator whose token stands in an Authorization header.
+	 * Returns the operator whose token an Authorization header contains.
 	 *
-	 * Guards against guessing a token byte by byte from how long a comparison takes: digests of one
-	 * length are compared in constant time, and every entry is compared whether or not one matched.
+	 * Resists timing attacks that guess a token byte by byte: digests have equal length, are compared in constant time, and
+	 * every entry is compared even after a match.
 	 */
 	recognise(authorization: string | undefined): Maybe<Operator> {
 		const token = /^Bearer +(?<token>\S+)$/iv.exec(authorization ?? '')?.groups?.token;
--- a/src/node/api/operator-server.test.ts
+++ b/src/node/api/operator-server.test.ts
@@ -50,8 +50,8 @@
 		return [answer.statusCode, body === '' ? undefined : JSON.parse(body)];
 	}
 
-	// Guards operators' requests against limits that reject bodies in chunks and requests without a length.
-	it('takes bodies in chunks and requests without length, and limits both', async function () {
+	// Fails if the size limit rejects chunked bodies or requests without a length.
+	it('accepts chunked bodies and requests without a length, and limits the size of both', async function () {
 		const change = (note: string) => JSON.stringify({operation: 'operation-1', note, mutations: [{type: 'put', resource: {kind: 'service', name: 'ordering'}}]});
 		expect([
 			await send('POST', '/v1/changes', change('')),
@@ -61,8 +61,8 @@
 		]).toMatchSnapshot(this);
 	});
 
-	// Guards operators against a change whose answer is cut by the end of its VM.
-	it('answers a change that is under way when its VM ends', async () => {
+	// Fails if an operator loses the response to a change because the VM stops.
+	it('completes the response to a change in progress when the server ends', async () => {
 		const gateway = new FakeGateway();
 		const slow = serverOf(Object.assign(gateway, {
 			async change(...change: Parameters<FakeGateway['change']>) {
@@ -80,7 +80,7 @@
 		expect(status).toEqual(200);
 	});
 
-	it('says so when its port is taken', async () => {
+	it('returns a failure if its port is in use', async () => {
 		const port = Number(new URL(origin).port);
 		const second = serverOf(new FakeGateway());
 		const outcome = await second.listen('127.0.0.1', port);
--- a/src/node/api/operator-server.ts
+++ b/src/node/api/operator-server.ts
@@ -1,4 +1,4 @@
-/** Listens for operators and hands their requests to the resource API. */
+/** HTTP server of the resource API. */
 import {getRequestListener} from '@hono/node-server';
 import {
 	err, ok, ResultAsync, type Result,
@@ -11,23 +11,23 @@
 import {type ResourceApi} from './resource-api.ts';
 
 /**
- * A client that sends its head byte by byte would hold a connection for good; operators' clients send
- * theirs within milliseconds.
+ * Time-out for the request head. Without it, a client that sends its head byte by byte holds a connection indefinitely;
+ * operators' clients send theirs within milliseconds.
  */
 const headTimeoutMilliseconds = 10_000;
 
-/** The whole request, its body included: apply files are a few hundred kilobytes. */
+/** Time-out for the complete request including its body; files for `apply` have a few hundred kilobytes. */
 const requestTimeoutMilliseconds = 60_000;
 
-/** Operators and their programs are few; more connections than this are a fault or an attack. */
+/** Maximum number of connections. Operators and their programs are few; more connections indicate a fault or an attack. */
 const mostConnections = 200;
 
-/** Longest that the end of the process waits for operators' answers: a write to the store is answered or lost within 2 s. */
+/** Maximum time for which the end of the process waits for responses to operators; a write to the store is answered or lost within 2 s. */
 const longestEnd: Milliseconds = 3000;
 
 export type OperatorServerFailure = Failure<'cannot-listen'>;
 
-/** The listening socket of the resource API; disposing it ends all its connections. */
+/** Serves the resource API; disposing it closes all its connections. */
 export class OperatorServer extends Disposable {
 	private readonly _server: GracefulServer;
 
@@ -40,12 +40,12 @@
 		this._server.maxConnections = mostConnections;
 	}
 
-	/** Begins to listen; the answer is the port, which was chosen by the system where 0 was asked for. */
+	/** Starts to listen and resolves with the port; the system chooses it if `port` is 0. */
 	listen(address: string, port: number): ResultAsync<number, OperatorServerFailure> {
 		return new ResultAsync(this._listen(address, port));
 	}
 
-	/** The process ends: resolves when the answers under way are out, or when the longest time for them is over. */
+	/** Closes the listener at the end of the process; resolves when all responses in progress are sent or the time limit is reached. */
 	async end(): Promise<void> {
 		return closeListener(this._server, longestEnd);
 	}
--- a/src/node/api/problems.ts
+++ b/src/node/api/problems.ts
@@ -1,9 +1,9 @@
-/** Typed answers for everything that can go wrong at the resource API (RFC 9457). */
+/** Error responses of the resource API (RFC 9457 problem details). */
 import {problemTypePrefix} from '../../common/protocol/headers.ts';
 import {type InputFailure} from '../../common/settings/schema-failures.ts';
 import {type GatewayFailure, type Problem} from './types.ts';
 
-/** The word after the prefix of a problem's type. Programs decide by it; sentences may change. */
+/** Last part of a problem's type, after the prefix. Clients may rely on it; titles and details may change. */
 export type ProblemWord
 	= | 'invalid-input'
 		| 'unauthorised'
@@ -30,12 +30,12 @@
 	'outcome-unknown': {status: 504, title: 'The change may or may not have been accepted'},
 	unavailable: {status: 503, title: 'The platform\'s service did not take part; nothing was changed'},
 	'not-ready': {status: 503, title: 'This VM has no configuration yet'},
-	internal: {status: 500, title: 'A fault of this VM'},
+	internal: {status: 500, title: 'Internal error of this VM'},
 };
 
 type ProblemExtras = Pick<Problem, 'faults' | 'winner' | 'operation'> & {readonly status?: number};
 
-/** A problem with its fixed title and status. */
+/** Creates a problem with the title and status of its type. */
 export function problem(word: ProblemWord, detail: string, extras: ProblemExtras = {}): Problem {
 	const entry = catalogue[word];
 	return {
@@ -47,7 +47,7 @@
 	};
 }
 
-/** The answer that carries a problem. */
+/** Creates the response that carries a problem. */
 export function problemResponse(value: Problem): Response {
 	const headers = new Headers({'content-type': 'application/problem+json', 'cache-control': 'no-store'});
 	if (value.status === catalogue.unauthorised.status) {
@@ -57,18 +57,18 @@
 	return Response.json(value, {status: value.status, headers});
 }
 
-/** A problem that lists every fault of an input. */
+/** Creates a problem that lists all errors of an input. */
 export function invalidInput(faults: readonly InputFailure[]): Problem {
 	return problem('invalid-input', `${faults.length} ${faults.length === 1 ? 'fault' : 'faults'}`, {
 		faults: faults.map(fault => ({field: fault.field.unwrapOr(''), kind: fault.kind, message: fault.message})),
 	});
 }
 
-/** The problem for what the system could not do. `hasPrecondition`: the request named a version in If-Match. */
+/** Converts a failure of the gateway to a problem. `hasPrecondition`: the request had an If-Match or If-None-Match header. */
 export function gatewayProblem(value: GatewayFailure, hasPrecondition = false): Problem {
 	switch (value.kind) {
 		case 'conflict': {
-			// RFC 9110, 13.1.1: a false If-Match is answered with 412.
+			// RFC 9110, 13.1.1: the status for a false precondition is 412.
 			return problem('conflict', value.message, {winner: value.winner, ...(hasPrecondition && {status: 412})});
 		}
 
--- a/src/node/api/request-input.ts
+++ b/src/node/api/request-input.ts
@@ -1,4 +1,4 @@
-/** Reads and checks what a request to the resource API brings; every fault names its field. */
+/** Reads and validates the parts of a request to the resource API; every error names its field. */
 import {Buffer} from 'node:buffer';
 import {randomUUID} from 'node:crypto';
 import {type Context} from 'hono';
@@ -11,15 +11,15 @@
 import {invalidInput, problem} from './problems.ts';
 import {operationSchema, resourceKindSchema, type Problem} from './types.ts';
 
-/** What the middleware leaves for the routes: who asks, and how many bytes a body may have. */
+/** Values that the middleware sets for the routes: the operator, and the maximum size of a body in bytes. */
 export type ApiEnvironment = {Variables: {operator: Operator; bodyBytes: number}};
 
-/** The version that a write expects: a number, 0 = absent, undefined = whatever stands there. */
+/** Version of the resource that a write requires; 0 = it must not exist, undefined = any version. */
 export type Precondition = {readonly expected: number | undefined};
 
 const pathSchema = z.strictObject({kind: resourceKindSchema, name: nameSchema});
 
-/** The JSON body, checked against a schema. */
+/** Reads the JSON body and validates it against a schema. */
 export async function readBody<Schema extends z.ZodType>(context: Context<ApiEnvironment>, schema: Schema): Promise<Result<z.infer<Schema>, Problem>> {
 	const mediaType = context.req.header('content-type')?.split(';', 1)[0]?.trim().toLowerCase();
 	if (mediaType !== 'application/json') {
@@ -30,18 +30,18 @@
 	return text.andThen(value => parseJson(value)).andThen(input => checkInput(schema, input));
 }
 
-/** Checks any input against a schema. */
+/** Validates an input against a schema. */
 export function checkInput<Schema extends z.ZodType>(schema: Schema, input: unknown): Result<z.infer<Schema>, Problem> {
 	const parsed = schema.safeParse(input);
 	return parsed.success ? ok(parsed.data) : err(invalidInput(inputFailures(parsed.error, input, schema)));
 }
 
-/** The resource that the path names. */
+/** Reads the key of a resource from the path. */
 export function readKey(context: Context): Result<ResourceKey, Problem> {
 	return checkInput(pathSchema, {kind: context.req.param('kind'), name: context.req.param('name')}).map(resourceKey);
 }
 
-/** A whole number from the query. */
+/** Reads a whole number from 0 to `most` from the query; `fallback` if the parameter is absent. */
 export function readNumber(context: Context, name: string, fallback: number, most: number): Result<number, Problem> {
 	const text = context.req.query(name);
 	if (text === undefined) {
@@ -53,7 +53,7 @@
 	return checkInput(schema, {[name]: text}).map(value => Number(value[name]));
 }
 
-/** The expected version from If-Match or If-None-Match; one of the two is needed, so that no write is blind by accident. */
+/** Reads the expected version from If-Match or If-None-Match. One of the two is required, so that no write is unconditional by accident. */
 export function readPrecondition(context: Context): Result<Precondition, Problem> {
 	const ifMatch = context.req.header('if-match');
 	if (ifMatch === '*') {
@@ -69,13 +69,13 @@
 
 	const ifNoneMatch = context.req.header('if-none-match');
 	if (ifNoneMatch === undefined) {
-		return err(problem('precondition-required', 'allowed: If-Match with the ETag that was read (* = whatever stands there), or If-None-Match: * to create'));
+		return err(problem('precondition-required', 'allowed: If-Match with the ETag that was read (* = any version), or If-None-Match: * to create'));
 	}
 
 	return ifNoneMatch === '*' ? ok({expected: 0}) : err(invalidInput([headerFault('if-none-match', ifNoneMatch, '*')]));
 }
 
-/** The operation's identity from Idempotency-Key; a fresh one where the client brought none. */
+/** Reads the operation's identity from the Idempotency-Key header; generates one if the header is absent. */
 export function readOperation(context: Context): Result<string, Problem> {
 	const header = context.req.header('idempotency-key');
 	if (header === undefined) {
@@ -92,9 +92,9 @@
 }
 
 /**
- * The body as text, if it is small enough. Counted while it is read: a body sent in chunks declares no
- * length, and a client that never ends it would fill the memory. (hono's own limit builds another
- * Request of it, which the server's light requests cannot be turned into.)
+ * Reads the body as text; fails if it is too large. Bytes are counted while the body is read, because a chunked body declares
+ * no length and an endless one would fill the memory. hono's body limit cannot be used: it creates a new Request from the
+ * server's lightweight request object, which does not support that.
  */
 async function readText(request: Request, bodyBytes: number): Promise<Result<string, Problem>> {
 	const isDeclaredTooLarge = Number(request.headers.get('content-length') ?? 0) > bodyBytes;
@@ -104,7 +104,7 @@
 		: ok(body.toString());
 }
 
-/** The whole body; undefined if it is longer than allowed. */
+/** Returns the complete body; undefined if it exceeds `bodyBytes`. */
 async function readChunks(body: AsyncIterable<Uint8Array> | null, bodyBytes: number): Promise<Buffer | undefined> {
 	const chunks: Uint8Array[] = [];
 	let size = 0;
--- a/src/node/api/resource-api.test.ts
+++ b/src/node/api/resource-api.test.ts
@@ -61,7 +61,7 @@
 
 	const service = {kind: 'service', name: 'ordering'};
 
-	it('creates, reads, replaces with the expected version, and deletes', async function () {
+	it('creates, reads, replaces with an expected version, and deletes a resource', async function () {
 		const answers = [
 			await send('POST', '/v1/resources', {body: service, headers: {'idempotency-key': 'operation-1'}}),
 			await send('GET', '/v1/resources/service/ordering', {token: readToken}),
@@ -75,8 +75,8 @@
 		expect(answers).toMatchSnapshot(this);
 	});
 
-	// Guards an operator against overwriting a change that was made since the version that was read.
-	it('tells the loser of two changes who won', async function () {
+	// Fails if an operator can overwrite a change that was made after the version that the operator read.
+	it('rejects the second of two conflicting changes and names the first', async function () {
 		await send('POST', '/v1/resources', {body: service, headers: {'idempotency-key': 'operation-1'}});
 		await send('PUT', '/v1/resources/service/ordering', {body: {...service, priority: 9}, headers: {'if-match': '"1"', 'idempotency-key': 'operation-2'}});
 		const loser = await send('PUT', '/v1/resources/service/ordering', {body: {...service, priority: 1}, headers: {'if-match': '"1"'}});
@@ -85,8 +85,8 @@
 		expect(gateway.version).toEqual(2);
 	});
 
-	// Guards an operator against reading 'refused' of a change that was accepted, and against making it twice.
-	it('says that an outcome is unknown, resolves it, and makes a repeated change once', async function () {
+	// Fails if an accepted change is reported as refused, or if a repeated change is applied twice.
+	it('reports an unknown outcome, resolves it, and applies a repeated change once', async function () {
 		const change = {operation: 'operation-1', mutations: [{type: 'put', resource: service, expected: 0}]};
 		gateway.mood = 'loses-answers';
 		const lost = await send('POST', '/v1/changes', {body: change});
@@ -98,7 +98,7 @@
 		expect(gateway.version).toEqual(1);
 	});
 
-	it('refuses every bad input with the field at fault and changes nothing', async function () {
+	it('rejects invalid input, names the invalid field and changes nothing', async function () {
 		const json = {'content-type': 'application/json'};
 		const answers = [
 			await send('POST', '/v1/resources', {
@@ -131,7 +131,7 @@
 		expect(gateway.logLevel()).toEqual('info');
 	});
 
-	it('lets in known operators only, and only those with the role write change anything', async function () {
+	it('admits only known operators, and changes only by operators with the role write', async function () {
 		const answers = [
 			await send('GET', '/v1/status', {token: ''}),
 			await send('GET', '/v1/status', {token: `${writeToken}x`}),
@@ -145,8 +145,8 @@
 		expect(gateway.version).toEqual(0);
 	});
 
-	// Guards calls against an answer of thousands of resources that is written in one piece.
-	it('lists in pages and looks single keys up', async () => {
+	// Fails if thousands of resources are serialised in one response, which delays calls.
+	it('lists resources in pages and looks up single keys', async () => {
 		const services = Array.from({length: 1200}, (_, index) => ({type: 'put', resource: {kind: 'service', name: `s${index}`}}));
 		const server = {
 			kind: 'backend-server', name: 'b', service: 's7', address: '10.0.0.1', port: 9000, dataCentre: 'gdansk-1',
@@ -182,7 +182,7 @@
 		expect(wrong.status).toEqual(400);
 	});
 
-	it('never fails inside and never changes anything on bodies that are not allowed, whatever they are', async () => {
+	it('never returns an internal error or changes anything for invalid bodies', async () => {
 		const change = fastCheck.record({
 			operation: fastCheck.oneof(fastCheck.constant('operation-1'), fastCheck.jsonValue()),
 			note: fastCheck.oneof(fastCheck.constant('note'), fastCheck.jsonValue()),
@@ -207,7 +207,7 @@
 		}), {seed: 20_261_202, numRuns: 2000});
 	});
 
-	it('says "unavailable" and not "unknown" when the store took no part', async function () {
+	it('reports "unavailable" and not "unknown" if the store cannot be reached', async function () {
 		gateway.mood = 'out';
 		expect(await send('POST', '/v1/resources', {body: service})).toMatchSnapshot(this);
 		expect(answered).toEqual(['POST 503']);
--- a/src/node/api/resource-api.ts
+++ b/src/node/api/resource-api.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP interface: who may enter, how much they may send, and where it goes. */
+/** HTTP API for operators: authentication, authorisation, body limit and routing. */
 import {Hono, type MiddlewareHandler} from 'hono';
 import {type Logger} from '../logging/types.ts';
 import {type Metrics} from '../metrics/types.ts';
@@ -9,19 +9,19 @@
 import {vmRoutes} from './vm-routes.ts';
 import {type OperatorGateway} from './types.ts';
 
-/** What the API is built from. */
+/** Dependencies of the API. */
 export type ResourceApiParts = {
 	readonly gateway: OperatorGateway;
 	readonly directory: OperatorDirectory;
 	readonly logger: Logger;
 	readonly metrics: Metrics;
-	/** Largest body of a request. */
+	/** Maximum size of a request body in bytes. */
 	readonly bodyBytes: number;
 };
 
 const readingMethods: ReadonlySet<string> = new Set(['GET', 'HEAD']);
 
-/** The resource API as a function from request to answer; a server or a test feeds it. */
+/** The resource API as a function from request to response, independent of the server. */
 export class ResourceApi {
 	private readonly _application = new Hono<ApiEnvironment>();
 
@@ -34,14 +34,13 @@
 		application.onError(error => this._answerFault(error));
 	}
 
-	/** Answers one request. */
 	async handle(request: Request): Promise<Response> {
 		const answer = await this._application.fetch(request);
 		this._parts.metrics.operatorAnswered(request.method, answer.status);
 		return answer;
 	}
 
-	/** Runs before the body is read: who is unknown costs no memory. */
+	/** Authenticates and authorises the operator before the body is read, so that unauthenticated clients use no memory. */
 	private _authenticate(): MiddlewareHandler<ApiEnvironment> {
 		return async (context, next) => {
 			const operator = this._parts.directory.recognise(context.req.header('authorization'));
@@ -60,9 +59,9 @@
 		};
 	}
 
-	/** A fault of our own never shows its inside to a client; the log has it. */
+	/** Logs an internal error; the response contains no details of it. */
 	private _answerFault(error: Error): Response {
 		this._parts.logger.error('resource API failed', {error: error.message, stack: error.stack});
-		return problemResponse(problem('internal', 'the log of this VM says more'));
+		return problemResponse(problem('internal', 'details are in the log of this VM'));
 	}
 }
--- a/src/node/api/resource-routes.ts
+++ b/src/node/api/resource-routes.ts
@@ -1,4 +1,4 @@
-/** Routes for the declared resources: list, get, create, replace, delete, apply together, watch, history. */
+/** Routes for declared resources: list, get, create, replace, delete, apply a change of several resources, watch, history. */
 import {type Context, Hono} from 'hono';
 import {err, ok, Result} from 'neverthrow';
 import {Maybe} from 'true-myth/maybe';
@@ -21,13 +21,13 @@
 
 type ApiContext = Context<ApiEnvironment>;
 
-/** Longest wait of one watch: short enough that a silent connection is noticed. */
+/** Maximum duration of a watch request; short enough to detect a broken connection. */
 const longestWatchMilliseconds = 60_000;
 const usualWatchMilliseconds = 25_000;
 const longestHistory = 1000;
 const usualHistory = 20;
 
-/** Most keys looked up at once: their query fits the usual limit of a request's head. */
+/** Maximum number of keys in one request; their query fits into the usual limit of a request head. */
 const mostKeys = 50;
 
 const listQuerySchema = z.strictObject({
@@ -38,7 +38,7 @@
 });
 type ListQuery = z.infer<typeof listQuerySchema>;
 
-/** The routes under `/v1` that concern resources. */
+/** Creates the routes under `/v1` for resources. */
 export function resourceRoutes(gateway: OperatorGateway): Hono<ApiEnvironment> {
 	const routes = new Hono<ApiEnvironment>();
 	routes.get('/resources', context => listResources(gateway, context));
@@ -70,7 +70,7 @@
 		.match(list => context.json(list), problemResponse);
 }
 
-/** One page, so that a large configuration never holds up the VM's calls while it is written out. */
+/** Returns one page of the resources. Pages are limited so that serialising a large configuration does not delay the VM's calls. */
 function pageOf(inForce: ResourcesInForce, query: ListQuery, limit: number): ResourceList {
 	const matching = inForce.items.filter(({resource}) => resourceKey(resource) > query.after && (query.service === undefined || serviceOf(resource) === query.service));
 	const items = matching.slice(0, limit);
@@ -79,7 +79,7 @@
 	return {version: inForce.version, items, next: isLastPage ? null : resourceKey(last.resource)};
 }
 
-/** Those of the keys that are in force. */
+/** Returns the resources in force with the given keys. */
 function lookUp(gateway: OperatorGateway, version: number, keys: readonly ResourceKey[]): ResourceList {
 	const items = keys.flatMap(key => gateway.get(key).unwrapOr(Maybe.nothing<StoredResource>()).match({Just: stored => [stored], Nothing: () => []}));
 	return {version, items, next: null};
@@ -133,7 +133,7 @@
 	return sendChange(gateway, context, body, {isCreation: false, hasPrecondition: false});
 }
 
-/** One resource's change as a request; the identity comes from the client, so that a repetition is recognised. */
+/** Creates the change request for one resource; its identity comes from the client, so that a repeated request is recognised. */
 function requestOf(context: ApiContext, mutation: Mutation): Result<ChangeRequest, Problem> {
 	return readOperation(context).andThen(operation => checkInput(changeRequestSchema, {
 		operation,
@@ -180,7 +180,7 @@
 		.match(records => context.json({records}), problemResponse);
 }
 
-/** RFC 9110, 8.8.3: a strong validator, made of the version of the resource's latest change. */
+/** Strong validator (RFC 9110, 8.8.3) from the version of the resource's latest change. */
 function entityTag(version: number): string {
 	return `"${version}"`;
 }
--- a/src/node/api/vm-routes.ts
+++ b/src/node/api/vm-routes.ts
@@ -1,10 +1,10 @@
-/** Routes that concern the VMs and what they know: status, drain, burn, quarantine, log level. */
+/** Routes for the state and control of VMs: status, drain, burn report, quarantine, log level. */
 import {Hono} from 'hono';
 import {gatewayProblem, problemResponse} from './problems.ts';
 import {readBody, type ApiEnvironment} from './request-input.ts';
 import {logLevelSchema, type OperatorGateway} from './types.ts';
 
-/** The routes under `/v1` that concern VMs. */
+/** Creates the routes under `/v1` for VMs. */
 export function vmRoutes(gateway: OperatorGateway): Hono<ApiEnvironment> {
 	const routes = new Hono<ApiEnvironment>();
 	routes.get('/status', context => context.json(gateway.status()));
--- a/src/node/fleet/feed-client.ts
+++ b/src/node/fleet/feed-client.ts
@@ -1,4 +1,4 @@
-/** Takes the registry feed of one VM at a time, and tells it who this one is. */
+/** Subscribes to the registry feed of one other VM at a time and sends this VM's announcements to it. */
 import {Readable} from 'node:stream';
 import {Client, type Dispatcher} from 'undici';
 import {describeFailure} from '../../common/errors/failure.ts';
@@ -11,13 +11,13 @@
 import {LineReader} from './line-reader.ts';
 import {decodeFrame, encodeAnnouncement, feedPath} from './feed-frame.ts';
 
-/** A way to another data centre and back is 3 ms; longer, and another VM is tried. */
+/** Connect time-out; a round trip to another data centre takes 3 ms. After a time-out another VM is tried. */
 const connectMilliseconds: Milliseconds = 300;
 
-/** Characters of a line that has not ended: beyond it, this is no VM of ours. */
+/** Maximum length of an incomplete line, in characters; a longer one does not come from a VM of this fleet. */
 const longestLine = 16_777_216;
 
-/** Time for the last announcement to leave before its connection ends. */
+/** Delay before the connection is destroyed, so that the last announcement is sent. */
 const farewellMilliseconds: Milliseconds = 100;
 
 type FeedSink = EventSink<Extract<FleetEvent, {type: 'feed-frame' | 'feed-closed'}>>;
@@ -26,7 +26,7 @@
 	private readonly _sink: FeedSink;
 	private readonly _logger: Logger;
 	private readonly _listening = this._register(new MutableDisposable());
-	/** Body of the question that is under way: what is announced goes there. */
+	/** Body of the current request; announcements are written to it. */
 	private _words: Readable | undefined;
 
 	constructor(sink: FeedSink, logger: Logger) {
@@ -35,7 +35,7 @@
 		this._logger = logger;
 	}
 
-	/** Listens to this VM from now on, and to no other; undefined = to none. */
+	/** Subscribes to the feed of this VM and ends any other subscription; undefined = no subscription. */
 	follow(source: PeerAddress | undefined): void {
 		this._words = undefined;
 		if (source === undefined) {
@@ -49,18 +49,18 @@
 		const listener = new FrameHandler(source, this._sink, this._logger);
 		const words = new Readable({
 			read() {
-				// Lines are pushed as they are announced.
+				// Lines are pushed by `announce`.
 			},
 		});
 		words.on('error', () => {
-			// The connection has ended, which the listener tells.
+			// The connection has ended; the response handler reports it.
 		});
-		// The question leaves with the first bytes of its body: without any, nothing would be asked.
+		// undici sends the request with the first bytes of its body.
 		words.push('\n');
 		this._words = words;
 		this._listening.value = toDisposable(() => {
 			listener.isOver = true;
-			// What was announced last goes out before the end.
+			// Send the last announcement before the connection ends.
 			words.push(null);
 			setTimeout(() => {
 				void client.destroy();
@@ -71,15 +71,15 @@
 		}, listener);
 	}
 
-	/** Tells the VM that is followed who this one is; nothing where none is. */
+	/** Sends an announcement of this VM to the VM whose feed is subscribed; does nothing without a subscription. */
 	announce(announcement: MemberAnnouncement): void {
 		this._words?.push(encodeAnnouncement(announcement));
 	}
 }
 
-/** One feed, as an undici dispatch handler. */
+/** undici dispatch handler that reads the frames of one feed. */
 class FrameHandler implements Dispatcher.DispatchHandler {
-	/** Nobody wants it any more: what still comes is left out, its end too. */
+	/** The subscription has ended; later frames and the end of the response are ignored. */
 	isOver = false;
 	private readonly _source: PeerAddress;
 	private readonly _sink: FeedSink;
@@ -93,7 +93,7 @@
 	}
 
 	onRequestStart(): void {
-		// Nothing to keep: the stream is ended by destroying its client.
+		// The controller is not needed: destroying the client ends the stream.
 	}
 
 	onResponseData(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
@@ -123,7 +123,7 @@
 
 		const frame = decodeFrame(line);
 		if (frame.isErr()) {
-			this._logger.warn('a frame of the registry feed that cannot be read was left out', {source: this._source, failure: describeFailure(frame.error)});
+			this._logger.warn('registry feed closed: a frame could not be read', {source: this._source, failure: describeFailure(frame.error)});
 			this._end();
 			return;
 		}
@@ -139,7 +139,7 @@
 	}
 }
 
-/** A frame that does not end. */
+/** An incomplete frame exceeds the maximum length. */
 class FrameTooLong extends Error {
 	override readonly name = 'FrameTooLong';
 }
--- a/src/node/fleet/feed-frame.ts
+++ b/src/node/fleet/feed-frame.ts
@@ -1,4 +1,4 @@
-/** How the registry feed travels between VMs: one JSON object a line, long ones compressed. */
+/** Encoding of the registry feed between VMs: one JSON object per line, long lines compressed. */
 import {deflateRawSync, inflateRawSync} from 'node:zlib';
 import {err, ok, type Result} from 'neverthrow';
 import * as z from 'zod';
@@ -9,12 +9,12 @@
 export const feedPath = '/feed';
 
 /**
- * From here on a frame is compressed. Forty VMs that follow one with a link of 7 Mbit/s would wait four seconds for a
- * configuration of 90 KB. 350 routes of chance names shrink from 54,918 to 5581 bytes.
+ * Length from which a frame is compressed. Without compression, forty VMs that subscribe to a VM with a link of 7 Mbit/s
+ * would wait four seconds for a configuration of 90 KB. 350 routes with random names compress from 54,918 to 5581 bytes.
  */
 const compressFromBytes = 1000;
 
-/** Most bytes of one frame, unpacked: the store holds a megabyte a value, and a fleet's entries come to less than that. */
+/** Maximum size of a decompressed frame. A value in the store has at most a megabyte, and all entries of a fleet together are smaller. */
 const mostFrameBytes = 16_777_216;
 
 const frameSchema = z.object({
@@ -29,10 +29,10 @@
 
 const announcementSchema = z.object({identity: z.string().min(1), value: z.string(), intent: z.enum(['stay', 'turn', 'leave'])});
 
-/** First letter of a compressed line; JSON objects begin with a brace. */
+/** First character of a compressed line; uncompressed lines begin with a brace. */
 const compressedMark = 'z';
 
-/** JSON has no `undefined`: what is absent is left out. */
+/** Omits `createdAt` where it is absent, instead of setting it to undefined. */
 function toFrame({entries, ...frame}: z.infer<typeof frameSchema>): FeedFrame {
 	return {...frame, entries: entries.map(({createdAt, ...entry}) => createdAt === undefined ? entry : {...entry, createdAt})};
 }
@@ -48,9 +48,9 @@
 			? inflateRawSync(Buffer.from(line.slice(1), 'base64'), {maxOutputLength: mostFrameBytes}).toString()
 			: line;
 		const parsed = frameSchema.safeParse(JSON.parse(text));
-		return parsed.success ? ok(toFrame(parsed.data)) : err(failure('invalid-document', `frame: ${parsed.error.issues[0]?.message ?? 'not of the agreed form'}`));
+		return parsed.success ? ok(toFrame(parsed.data)) : err(failure('invalid-document', `frame: ${parsed.error.issues[0]?.message ?? 'invalid'}`));
 	} catch {
-		return err(failure('invalid-document', 'a frame that is cut short'));
+		return err(failure('invalid-document', 'frame: truncated or not valid JSON'));
 	}
 }
 
@@ -58,12 +58,12 @@
 	return `${JSON.stringify(announcement)}\n`;
 }
 
-/** What a VM that follows says of itself; an error for a line of another form. */
+/** Decodes an announcement line of a subscribed VM. */
 export function decodeAnnouncement(line: string): Result<MemberAnnouncement, Failure<'invalid-document'>> {
 	try {
 		const parsed = announcementSchema.safeParse(JSON.parse(line));
-		return parsed.success ? ok(parsed.data) : err(failure('invalid-document', 'an announcement that is not of the agreed form'));
+		return parsed.success ? ok(parsed.data) : err(failure('invalid-document', 'announcement: invalid'));
 	} catch {
-		return err(failure('invalid-document', 'an announcement that is cut short'));
+		return err(failure('invalid-document', 'announcement: truncated or not valid JSON'));
 	}
 }
--- a/src/node/fleet/feed-server.ts
+++ b/src/node/fleet/feed-server.ts
@@ -1,4 +1,4 @@
-/** Tells other VMs what this one knows of the store, for as long as they listen, and hears from them who they are. */
+/** Serves the registry feed to other VMs, receives their announcements on the same streams, and answers VM probes. */
 import {
 	createServer, type IncomingMessage, type Server, type ServerResponse,
 } from 'node:http';
@@ -14,10 +14,10 @@
 import {decodeAnnouncement, encodeFrame, feedPath} from './feed-frame.ts';
 import {probePathPrefix} from './vm-probe-client.ts';
 
-/** Bytes that a listener may leave unread: one that is frozen or cut off must not fill this VM's memory. */
+/** Maximum number of bytes buffered for one subscriber, so that a frozen or disconnected one does not fill this VM's memory. */
 const mostUnreadBytes = 1_000_000;
 
-/** Characters of one announcement: beyond it, this is no VM of ours. */
+/** Maximum length of an announcement in characters; a longer one does not come from a VM of this fleet. */
 const longestAnnouncement = 10_000;
 
 const statusServing = 200;
@@ -25,10 +25,11 @@
 
 type MemberSink = EventSink<Extract<FleetEvent, {type: 'member-announced' | 'member-ended'}>>;
 
-/** What there is to tell. */
+/** Data that the server sends. */
 export type FeedContent = {
+	/** A frame with all entries, sent first on each stream. */
 	whole(): FeedFrame;
-	/** Whether this VM is the process of that identity and takes callers. */
+	/** Whether this VM is the process of that identity and accepts calls. */
 	isServing(identity: string): boolean;
 };
 
@@ -36,7 +37,7 @@
 	private readonly _metrics: Metrics;
 	private readonly _content: FeedContent;
 	private readonly _sink: MemberSink;
-	/** The latest stream of each VM that said who it is: an earlier one that ends late says nothing of it. */
+	/** The latest stream of each VM that sent an announcement, by identity. The end of an earlier stream is ignored. */
 	private readonly _streams = new Map<string, ServerResponse>();
 	private readonly _server: Server;
 	private readonly _listeners = new Set<ServerResponse>();
@@ -64,7 +65,7 @@
 		return listenOn(this._server, port, address);
 	}
 
-	/** Sends a frame to all followers. */
+	/** Sends a frame to all subscribers. */
 	publish(frame: FeedFrame): void {
 		if (this._listeners.size > 0) {
 			this._send(encodeFrame(frame));
@@ -86,7 +87,7 @@
 		return url.startsWith(probePathPrefix) && this._content.isServing(url.slice(probePathPrefix.length));
 	}
 
-	/** The body of the question is what the VM says of itself, a line each time. */
+	/** Reads the request body, in which the VM sends one announcement per line. */
 	private _hear(incoming: IncomingMessage, outgoing: ServerResponse): void {
 		const lines = new LineReader(longestAnnouncement);
 		incoming.on('data', (chunk: Buffer) => {
@@ -101,7 +102,7 @@
 			}
 		});
 		incoming.on('error', () => {
-			// Its end is told by the answer's `close`.
+			// The response's `close` event then reports the end of the stream.
 			outgoing.destroy();
 		});
 	}
--- a/src/node/fleet/feed-stream.test.ts
+++ b/src/node/fleet/feed-stream.test.ts
@@ -1,4 +1,4 @@
-/** The stream between two VMs over sockets: the registry feed one way, announcements the other. */
+/** The stream between two VMs over sockets, which carries the registry feed in one direction and announcements in the other. */
 import {setTimeout as delay} from 'node:timers/promises';
 import {expect} from 'earl';
 import {type FleetEvent} from '../../common/fleet/types.ts';
@@ -19,14 +19,14 @@
 const announcement = {identity: 'vm-1', value: '{"callers":"10.0.0.1:80"}', intent: 'stay'} as const;
 
 function ignore(): void {
-	// What is logged is not looked at here.
+	// These tests do not check the log.
 }
 
 const silentLogger: Logger = {
 	trace: ignore, debug: ignore, info: ignore, warn: ignore, error: ignore, with: () => silentLogger, isEnabled: () => false,
 };
 
-/** A feed server on a port of its own, a follower, and what each of them receives. */
+/** A feed server on its own port, a subscriber, and the events that each of them emits. */
 class Streams {
 	readonly owned = new DisposableStore();
 	readonly told: FleetEvent[] = [];
@@ -66,7 +66,7 @@
 		streams.owned.dispose();
 	});
 
-	it('brings the registry feed one way and announcements the other, on one connection', async () => {
+	it('carries the registry feed and announcements in opposite directions on one connection', async () => {
 		const address = await streams.start();
 		streams.follower.follow(address);
 		streams.follower.announce(announcement);
@@ -80,8 +80,8 @@
 		]);
 	});
 
-	// Guards callers against a killed VM that stays named until its registrar notices.
-	it('tells the VM that is followed when a follower has gone', async () => {
+	// Fails if callers still receive the address of a killed VM because the VM that registers it does not detect the end.
+	it('reports the end of a subscriber to the VM that serves the feed', async () => {
 		streams.follower.follow(await streams.start());
 		streams.follower.announce(announcement);
 		await until(() => streams.told.length > 0);
@@ -90,7 +90,7 @@
 		expect(streams.told.at(-1)).toEqual({type: 'member-ended', identity: 'vm-1'});
 	});
 
-	it('tells the follower when the VM that it follows has gone', async () => {
+	it('reports the end of the serving VM to the subscriber', async () => {
 		const address = await streams.start();
 		streams.follower.follow(address);
 		await until(() => streams.heard.length > 0);
@@ -99,7 +99,7 @@
 		expect(streams.heard.at(-1)).toEqual({type: 'feed-closed', source: address});
 	});
 
-	it('ends a stream on which something else is said', async () => {
+	it('closes a stream that carries an invalid announcement', async () => {
 		const address = await streams.start();
 		const answer = await fetch(`http://${address}${feedPath}`, {method: 'POST', body: 'no announcement\n'}).then(async response => response.text()).catch(() => 'ended');
 		expect([answer, streams.told]).toEqual(['ended', []]);
--- a/src/node/fleet/fleet-carrier.ts
+++ b/src/node/fleet/fleet-carrier.ts
@@ -1,4 +1,4 @@
-/** Carries out what the fleet engine decides: requests to the platform, messages between VMs, answers to operators. */
+/** Executes the effects of the fleet engine: requests to the platform, messages between VMs, answers to operators. */
 import {type OuterFleetEffect} from '../../common/entry-vm/types.ts';
 import {
 	type FleetEvent, type FleetStage, type OperatorAnswer, type OperatorChange,
@@ -10,12 +10,12 @@
 import {type EventSink} from '../decider-loop.ts';
 import {type PeerTransport, type PlatformClient} from './types.ts';
 
-/** Effects that concern the front or the logs. */
+/** Effects that the front or the logs handle. */
 export type OutwardEffect = Exclude<OuterFleetEffect, {type: 'store' | 'send' | 'operator-answer' | 'follow-feed' | 'publish-feed' | 'announce' | 'probe-vm'}>;
 
 type OuterFleetEvent = Extract<FleetEvent, {type: 'started' | 'store-replied' | 'peer-message' | 'peer-unreachable' | 'vm-list' | 'operator-change' | 'operator-drain'}>;
 
-/** The fleet engine's hands. */
+/** Executes fleet effects and feeds the results back to the engine. */
 export class FleetCarrier extends Disposable {
 	private readonly _sink: EventSink<OuterFleetEvent>;
 	private readonly _clock: Clock;
@@ -28,9 +28,9 @@
 	private _lastRequestId = 0;
 	private _isDisposed = false;
 
-	/** Something for the front or the logs. */
+	/** Fires for each effect that the front or the logs handle. */
 	readonly onEffect = this._onEffect.event;
-	/** The VM has come to another stage of its life. */
+	/** Fires when the VM enters another stage of its lifecycle. */
 	readonly onStage = this._onStage.event;
 
 	constructor(sink: EventSink<OuterFleetEvent>, clock: Clock, platform: PlatformClient, peers: PeerTransport) {
@@ -47,7 +47,7 @@
 		}));
 	}
 
-	/** Starts the engine and the reading of the platform's list of VMs. */
+	/** Starts the engine and reads the platform's list of VMs at the given interval. */
 	start(listEveryMilliseconds: Milliseconds): void {
 		this._sink.feed({type: 'started'});
 		void this._readList(listEveryMilliseconds);
@@ -58,7 +58,7 @@
 		super.dispose();
 	}
 
-	/** An operator's change; resolves with what became of it. */
+	/** Submits an operator's change; resolves with its outcome. */
 	async change(change: OperatorChange): Promise<OperatorAnswer> {
 		this._lastRequestId += 1;
 		const requestId = this._lastRequestId;
@@ -68,12 +68,11 @@
 		});
 	}
 
-	/** An operator orders a VM to stop in the planned way. */
+	/** Drains a VM by order of an operator. */
 	drain(identity: string): void {
 		this._sink.feed({type: 'operator-drain', identity});
 	}
 
-	/** Carries out one effect of the fleet engine. */
 	carryOut(effect: OuterFleetEffect): void {
 		switch (effect.type) {
 			case 'store': {
@@ -96,7 +95,7 @@
 			case 'probe-vm':
 			case 'follow-feed':
 			case 'publish-feed': {
-				// A fleet that leads itself has messages of its own for this.
+				// Only a fleet that is coordinated through the store uses these; here VMs exchange peer messages instead.
 				break;
 			}
 
--- a/src/node/fleet/line-reader.ts
+++ b/src/node/fleet/line-reader.ts
@@ -1,4 +1,4 @@
-/** Cuts a stream of bytes into lines. */
+/** Splits a stream of bytes into lines. */
 import {StringDecoder} from 'node:string_decoder';
 
 export class LineReader {
@@ -6,12 +6,12 @@
 	private readonly _decoder = new StringDecoder();
 	private _rest = '';
 
-	/** `longest` = characters that a line may have. */
+	/** `longest` = maximum length of an incomplete line, in characters. */
 	constructor(longest: number) {
 		this._longest = longest;
 	}
 
-	/** The lines that end in this chunk; undefined = one is too long, and nothing that follows can be read. */
+	/** Returns the lines that end in this chunk; undefined = the incomplete line is too long, and the stream cannot be read further. */
 	take(chunk: Uint8Array): readonly string[] | undefined {
 		const lines = (this._rest + this._decoder.write(Buffer.from(chunk))).split('\n');
 		this._rest = lines.pop()!;
--- a/src/node/fleet/store-carrier.ts
+++ b/src/node/fleet/store-carrier.ts
@@ -1,4 +1,4 @@
-/** Carries out what the decider of a store-led fleet asks for: requests to the store; the rest goes to the daemon. */
+/** Executes the store requests of a fleet that is coordinated through the store and passes all other effects to the daemon. */
 import {type OuterFleetEffect} from '../../common/entry-vm/types.ts';
 import {type FleetEvent} from '../../common/fleet/types.ts';
 import {Disposable} from '../../common/lifecycle/disposable.ts';
@@ -14,7 +14,7 @@
 	private readonly _client: Pick<PlatformClient, 'execute'>;
 	private readonly _onEffect = this._register(new Emitter<OutwardEffect>());
 
-	/** Something for the front or the logs. */
+	/** Fires for each effect that the daemon handles. */
 	readonly onEffect = this._onEffect.event;
 
 	constructor(sink: StoreCarrier['_sink'], store: Pick<PlatformClient, 'execute'>) {
--- a/src/node/fleet/types.ts
+++ b/src/node/fleet/types.ts
@@ -1,19 +1,19 @@
-/** What the fleet loop needs of the world. */
+/** Interfaces to the platform and to other VMs that the fleet's adapters use. */
 import {type PeerAddress} from '../../common/fleet/types.ts';
 import {type PeerMessage} from '../../common/fleet/peer-messages.ts';
 import {type Event} from '../../common/lifecycle/emitter.ts';
 import {type ListedVm, type StoreOperation, type StoreReply} from '../../common/platform/types.ts';
 
-/** The platform's service. Never rejects: what went wrong is part of the reply. */
+/** Client of the platform's service. Its promises never reject; failures are part of the reply. */
 export type PlatformClient = {
 	execute(operation: StoreOperation): Promise<StoreReply>;
-	/** The VMs as the platform lists them; undefined while it gives no answer. */
+	/** Returns the platform's list of VMs; undefined if it cannot be read. */
 	listVms(): Promise<readonly ListedVm[] | undefined>;
 };
 
-/** Messages between VMs. */
+/** Transport of messages between VMs. */
 export type PeerTransport = {
-	/** Sends; an undeliverable message is told by `onUnreachable`. */
+	/** Sends a message; `onUnreachable` fires if it cannot be delivered. */
 	send(to: PeerAddress, message: PeerMessage): void;
 	readonly onMessage: Event<PeerMessage>;
 	readonly onUnreachable: Event<PeerAddress>;
--- a/src/node/fleet/vm-probe-client.test.ts
+++ b/src/node/fleet/vm-probe-client.test.ts
@@ -17,7 +17,7 @@
 	let results: FleetEvent[];
 	let client: VmProbeClient;
 
-	/** Waits until so many probes have ended, ten seconds at most. */
+	/** Waits until the given number of probes has ended, at most ten seconds. */
 	async function told(count: number): Promise<void> {
 		for (let tries = 0; tries < 1000 && results.length < count; tries++) {
 			await delay(10);
@@ -38,10 +38,10 @@
 		owned.dispose();
 	});
 
-	it('tells the process that serves from an earlier one at its address', async () => {
+	it('distinguishes the serving process from an earlier one at the same address', async () => {
 		const server = owned.add(new FeedServer(noMetrics, {isServing: identity => identity === 'now-here', whole: () => nothing}, {
 			feed() {
-				// Nobody follows.
+				// There are no subscribers.
 			},
 		}));
 		const port = await server.listen(0, '127.0.0.1');
@@ -53,16 +53,16 @@
 		expect(results).toEqual([{type: 'vm-probed', identity: 'now-here', isServing: true}, {type: 'vm-probed', identity: 'before', isServing: false}]);
 	});
 
-	it('finds that a VM does not serve whose process is gone', async () => {
+	it('reports a VM whose process has ended as not serving', async () => {
 		client.probe('gone', '127.0.0.1:1');
 		await told(1);
 		expect(results).toEqual([{type: 'vm-probed', identity: 'gone', isServing: false}]);
 	});
 
-	// Guards against probes of VMs that accept connections and never respond: each would hold a socket for good.
-	it('ends where a VM accepts the connection and does not respond', async () => {
+	// Fails if a probe of a VM that accepts the connection and never responds holds its socket forever.
+	it('ends if a VM accepts the connection and does not respond', async () => {
 		const silent = createServer(() => {
-			// The request is read, and nothing comes back.
+			// Reads the request and never responds.
 		});
 		owned.add(toDisposable(() => {
 			silent.close();
--- a/src/node/fleet/vm-probe-client.ts
+++ b/src/node/fleet/vm-probe-client.ts
@@ -1,4 +1,4 @@
-/** Asks other VMs whether a process serves, on their peers endpoint. */
+/** Probes the peers endpoints of other VMs for whether a given process is serving. */
 import {Client, type Dispatcher} from 'undici';
 import {Disposable, DisposableStore, toDisposable} from '../../common/lifecycle/disposable.ts';
 import {type FleetEvent, type PeerAddress} from '../../common/fleet/types.ts';
@@ -6,17 +6,17 @@
 import {vmProbeTimeoutMilliseconds} from '../../common/registry/vm-loss-budget.ts';
 import {type EventSink} from '../decider-loop.ts';
 
-/** A GET of this and an identity tells by its status whether that process takes callers. */
+/** Path prefix of a probe, followed by the identity of a process. The status of the response shows whether that process accepts calls. */
 export const probePathPrefix = '/vms/';
 
 const statusServing = 200;
 
-/** The engine has a time-out of its own; what is open longer is closed here. */
+/** Time after which an unfinished probe is closed. The engine has a shorter time-out of its own. */
 const longestMilliseconds: Milliseconds = 2 * vmProbeTimeoutMilliseconds;
 
 type ProbeSink = EventSink<Extract<FleetEvent, {type: 'vm-probed'}>>;
 
-/** One probe, as an undici dispatch handler: the bundle has no more of undici. */
+/** undici dispatch handler of one probe; the bundle contains no higher-level API of undici. */
 class ProbeHandler implements Dispatcher.DispatchHandler {
 	private readonly _onResult: (isServing: boolean) => void;
 
@@ -25,7 +25,7 @@
 	}
 
 	onRequestStart(): void {
-		// Nothing to keep: the probe is ended by destroying its client.
+		// The controller is not needed: destroying the client ends the probe.
 	}
 
 	onResponseStart(_controller: Dispatcher.DispatchController, status: number): void {
@@ -33,14 +33,14 @@
 	}
 
 	onResponseData(): void {
-		// The status says all.
+		// Only the status matters.
 	}
 
 	onResponseEnd(): void {
-		// Told with its head.
+		// The result was reported with the response head.
 	}
 
-	/** Refused, cut off or late: the process does not serve, and the engine logs what follows from it. */
+	/** The connection was refused, closed or timed out, so the process is not serving; the engine logs the consequences. */
 	onResponseError(): void {
 		this._onResult(false);
 	}
@@ -55,7 +55,7 @@
 		this._sink = sink;
 	}
 
-	/** Feeds `vm-probed` once, when the head of a response or an error has come. */
+	/** Feeds `vm-probed` once, on the head of the response or on an error. */
 	probe(identity: string, address: PeerAddress): void {
 		const client = new Client(`http://${address}`, {connect: {timeout: vmProbeTimeoutMilliseconds}, allowH2: false});
 		const ending = this._underWay.add(toDisposable(() => {
--- a/src/node/logging/bounded-writer.ts
+++ b/src/node/logging/bounded-writer.ts
@@ -1,24 +1,24 @@
-/** Writes log lines to standard output without ever waiting for whoever reads it. */
+/** Writes log lines to standard output without blocking on its reader. */
 import {write} from 'node:fs';
 import {Disposable, toDisposable} from '../../common/lifecycle/disposable.ts';
 import {type Milliseconds} from '../../common/model/units.ts';
 
-/** Standard output. */
+/** File descriptor of standard output. */
 const descriptor = 1;
 
-/** Lines gathered for this long go out together: a write costs more than ten lines. */
+/** Time for which lines are collected before they are written together; a write costs more than formatting ten lines. */
 const gatherMilliseconds: Milliseconds = 50;
 
-/** Most bytes that wait for a reader; a second of the fullest log. More is dropped and counted. */
+/** Maximum number of buffered bytes, one second of the busiest log. Further lines are dropped and counted. */
 const mostWaitingBytes = 262_144;
 
-/** Longest that the end of the process waits for a reader: less than a half of what a bounded stop leaves for its last steps. */
+/** Default time for which the end of the process waits for a reader; less than half of the time that a bounded stop reserves for its last steps. */
 const usualLongestEnd: Milliseconds = 100;
 
 /**
- * Guards calls against a log that nobody reads: Node's own standard output blocks the thread once a pipe is full, and
- * every call on the VM waits with it. Here a write is under way at most once, on a helper thread; what does not fit
- * beside it is counted and left out, and the count is written as soon as there is room again.
+ * Keeps calls independent of the log's reader: Node's own standard output blocks the thread once the pipe is full, which
+ * delays every call on the VM. Here at most one write is in progress, on a helper thread. Lines that exceed the buffer are
+ * dropped and counted, and the count is written as soon as there is room.
  */
 export class BoundedWriter extends Disposable {
 	private readonly _longestEnd: Milliseconds;
@@ -29,7 +29,7 @@
 	private _timer: NodeJS.Timeout | undefined;
 	private _onAllWritten: (() => void) | undefined;
 
-	/** `longestEnd` = longest that the end waits for a reader. */
+	/** `longestEnd` = maximum time for which `end` waits for a reader, in milliseconds. */
 	constructor(longestEnd: Milliseconds = usualLongestEnd) {
 		super();
 		this._longestEnd = longestEnd;
@@ -38,7 +38,7 @@
 		}));
 	}
 
-	/** Takes one line with its line end. */
+	/** Buffers one line, including its line end. */
 	readonly write = (line: string): void => {
 		if (this._bytes + line.length > mostWaitingBytes) {
 			this._dropped++;
@@ -53,8 +53,8 @@
 	};
 
 	/**
-	 * The process ends: resolves when all lines are written, or when the longest time for it is over. Guards against a log
-	 * that ends before its process: a write that was under way held the last lines back, and a planned end looked like a crash.
+	 * Flushes the buffer at the end of the process; resolves when all lines are written or the time limit is reached. Without
+	 * it, the last lines are lost if a write is in progress, and a planned stop looks like a crash in the log.
 	 */
 	async end(): Promise<void> {
 		return new Promise(resolve => {
@@ -100,7 +100,7 @@
 				return;
 			}
 
-			// A pipe that does not block says so when it is full: the same bytes are tried again.
+			// EAGAIN: the non-blocking pipe is full. Retry the same bytes later.
 			if (error?.code === 'EAGAIN') {
 				setTimeout(() => {
 					this._writeAll(bytes);
@@ -108,7 +108,7 @@
 				return;
 			}
 
-			// A closed standard output leaves nowhere to tell of it; calls go on.
+			// Other errors, such as a closed standard output, cannot be reported anywhere and are ignored.
 			this._isWriting = false;
 			this._flush();
 		});
--- a/src/node/logging/bounds.test.ts
+++ b/src/node/logging/bounds.test.ts
@@ -2,9 +2,9 @@
 import {expect} from 'earl';
 import {LineBudget} from './line-budget.ts';
 
-describe('the budget of log lines', () => {
-	// Guards processor time in a burst against a log line for each call.
-	it('writes so many a second and counts the rest', () => {
+describe('LineBudget', () => {
+	// Fails if every call of a burst writes a log line, which takes processor time from the calls.
+	it('admits a fixed number of lines per second and counts the omitted ones', () => {
 		const budget = new LineBudget(2);
 		const written = [0, 1, 2, 3, 1000, 1001].map(now => budget.take(now));
 		expect(written).toEqual([
@@ -18,9 +18,9 @@
 	});
 });
 
-describe('the writer of log lines', () => {
-	// Guards calls against a reader of the log that stops reading.
-	it('goes on when nobody reads, and tells what was left out', async () => {
+describe('BoundedWriter', () => {
+	// Fails if the process blocks when the reader of the log stops reading.
+	it('does not block without a reader, and reports dropped lines', async () => {
 		const program = String.raw`
 			import {BoundedWriter} from ${JSON.stringify(new URL('bounded-writer.ts', import.meta.url).href)};
 			const writer = new BoundedWriter();
--- a/src/node/logging/last-lines.test.ts
+++ b/src/node/logging/last-lines.test.ts
@@ -1,14 +1,14 @@
 import {spawn} from 'node:child_process';
 import {expect} from 'earl';
 
-describe('the last lines of a process', () => {
-	// Guards the last log lines against a process that ends while a write is under way.
-	it('are written though a write is under way when it ends', async () => {
+describe('the last log lines of a process', () => {
+	// Fails if the last lines are lost when the process ends during a write.
+	it('are written even if another write is in progress at the end', async () => {
 		const program = String.raw`
 			import {BoundedWriter} from ${JSON.stringify(new URL('bounded-writer.ts', import.meta.url).href)};
-			// Longer than usual: on a busy machine the reader below may begin late.
+			// Longer than the default, because on a busy machine the reader below may start late.
 			const writer = new BoundedWriter(5000);
-			// More than the system keeps for a reader, so that the write is under way until somebody reads.
+			// More than the pipe's buffer holds, so that the write is in progress until the reader starts.
 			for (const pause of [200, 200]) {
 				for (let count = 0; count < 250; count++) writer.write('x'.repeat(999) + '\n');
 				await new Promise(resolve => setTimeout(resolve, pause));
--- a/src/node/logging/line-budget.ts
+++ b/src/node/logging/line-budget.ts
@@ -1,18 +1,18 @@
-/** Bounds how many lines a second are written of one sort, and counts what is left out. */
+/** Limits the rate of log lines of one kind and counts the omitted ones. */
 import {type Instant} from '../../common/model/units.ts';
 
-/** What became of a line. */
+/** Decision on one line. */
 export type Admission = {
 	readonly isWritten: boolean;
-	/** Lines left out since the last one that was written. */
+	/** Number of lines omitted since the last one that was written. */
 	readonly leftOut: number;
 };
 
 const second = 1000;
 
 /**
- * Answers the pattern "a rush of calls": the log would take processor time from the calls just when it is short. Each
- * second begins with the whole budget; a line that is written says how many were left out before it.
+ * Limits logging in a burst of calls, when log lines would take scarce processor time from the calls. The budget is
+ * refilled every second; each written line reports the number of lines omitted before it.
  */
 export class LineBudget {
 	private readonly _perSecond: number;
--- a/src/node/logging/logging.test.ts
+++ b/src/node/logging/logging.test.ts
@@ -10,7 +10,7 @@
 		return lines.map(line => line.replaceAll(/\d{4}-\d{2}-\d{2}[T ][\d:.]+Z?/gv, 'TIME'));
 	}
 
-	it('writes one object a line, and only enabled levels, also after a change while running', function () {
+	it('writes one JSON object per line, only of enabled levels, also after a change at run time', function () {
 		const lines = linesOf('json', logging => {
 			logging.logger.debug('not yet');
 			logging.setLevel('debug');
@@ -21,8 +21,8 @@
 		expect(lines).toMatchSnapshot(this);
 	});
 
-	// Guards secrets against the log.
-	it('masks secrets in fields and inside texts', function () {
+	// Fails if a secret is written to the log.
+	it('masks secrets in fields and texts', function () {
 		const run = (logging: Logging) => {
 			logging.logger.with({trace: 'abc'}).error('refused Bearer s3cret-token', {
 				authorization: 'Basic abc',
@@ -40,7 +40,7 @@
 });
 
 describe('trace context', () => {
-	it('keeps a valid trace id and begins anew for a malformed one', () => {
+	it('keeps a valid trace id and starts a new trace for a malformed one', () => {
 		const traceId = '0af7651916cd43dd8448eb211c80319c';
 		const continued = continueTrace(`00-${traceId}-b7ad6b7169203331-01`);
 		expect(continued.traceId).toEqual(traceId);
--- a/src/node/logging/logging.ts
+++ b/src/node/logging/logging.ts
@@ -1,10 +1,10 @@
-/** The process's log, written by tslog as JSON lines or for people. */
+/** Log of the process, written through tslog as JSON lines or as text for people. */
 import process from 'node:process';
 import {Logger as TslogLogger} from 'tslog';
 import {type LogLevel, type Settings} from '../../common/settings/settings.ts';
 import {type LogControl, type LogFields, type Logger} from './types.ts';
 
-/** tslog's numbers for the levels that the settings allow. */
+/** tslog's numbers of the levels in the settings. */
 const levelNumbers: Readonly<Record<LogLevel, number>> = {
 	trace: 1,
 	debug: 2,
@@ -13,28 +13,28 @@
 	error: 5,
 };
 
-/** Values of these fields are never written, whoever passes them. */
+/** Fields whose values are always masked. */
 const secretFields = ['token', 'authorization', 'cookie', 'set-cookie', 'password', 'secret', 'idempotencyKey', 'idempotency-key'];
 
-/** Secrets inside texts, such as a header quoted in an error message. */
+/** Patterns of secrets inside texts, such as a header quoted in an error message. */
 const secretTexts = [/Bearer +\S+/giv, /(?<=:\/\/)[^\s\/@:]+:[^\s\/@]+(?=@)/gv];
 
-/** A line as tslog gets it. */
+/** A line as passed to tslog. */
 type Line = {readonly message: string; readonly [field: string]: unknown};
 
-/** The root logger of a process together with its level. */
+/** The root logger of a process and its level. */
 export class Logging implements LogControl {
 	readonly logger: Logger;
 	private _level: LogLevel;
 	private readonly _sink: TslogLogger<Line>;
 
-	/** `write` takes whole lines with their line end; standard output unless a test brings its own. */
+	/** `write` receives complete lines, including the line end; standard output by default. */
 	constructor(settings: Settings['log'], fields: LogFields = {}, write: (text: string) => void = text => process.stdout.write(text)) {
 		this._level = settings.level;
 		this._sink = new TslogLogger<Line>({
 			type: settings.format,
 			minLevel: 0,
-			// Finding the caller's position costs a stack trace for each line.
+			// Determining the position in the source requires a stack trace for each line.
 			hideLogPositionForProduction: true,
 			maskValuesOfKeys: secretFields,
 			maskValuesOfKeysCaseInsensitive: true,
@@ -78,21 +78,21 @@
 	return typeof value === 'object' && value !== null;
 }
 
-/** Puts time and level first, beside the fields. */
+/** Replaces tslog's metadata by time and level, placed before the fields. */
 function flatten(line: Readonly<Record<string, unknown>>): Record<string, unknown> {
 	const {_meta: meta, ...fields} = line;
 	const {date, logLevelName} = isObject(meta) ? meta : {};
 	return {time: date, level: String(logLevelName).toLowerCase(), ...fields};
 }
 
-/** A line for people: the message, then `name=value` for each field. */
+/** Formats a line for people: the message, then `name=value` for each field. */
 function describeLine(line: Readonly<Record<string, unknown>>): string {
 	const {message, _meta: _unused, ...fields} = line;
 	const pairs = Object.entries(fields).map(([name, value]) => `${name}=${typeof value === 'string' ? value : JSON.stringify(value)}`);
 	return [message, ...pairs].join(' ');
 }
 
-/** Adds fixed fields to each line. */
+/** A logger that adds fixed fields to each line. */
 class FieldLogger implements Logger {
 	private readonly _logging: Logging;
 	private readonly _fields: LogFields;
--- a/src/node/logging/random-digits.ts
+++ b/src/node/logging/random-digits.ts
@@ -1,18 +1,18 @@
-/** Random hexadecimal digits for identifiers of calls, drawn from the system's generator many at a time. */
+/** Random hexadecimal digits for the identifiers of calls, read from the system's generator in batches. */
 import {randomFillSync} from 'node:crypto';
 
 /**
- * One request to the generator serves some 170 calls: a request of its own for each identifier was 6 % of
- * the processor time of a call. No byte is used twice.
+ * Bytes per request to the generator, enough for about 170 calls. A separate request for each identifier takes 6 % of the
+ * processor time of a call. No byte is used twice.
  */
 const poolBytes = 4096;
 
-/** Draws from one pool. */
+/** Returns digits from a pool of random bytes. */
 export class RandomDigits {
 	private readonly _pool = Buffer.allocUnsafe(poolBytes);
 	private _used = poolBytes;
 
-	/** Two digits for each byte; at most as many bytes as the pool holds. */
+	/** Returns two digits per byte; `bytes` is at most the size of the pool. */
 	take(bytes: number): string {
 		if (this._used + bytes > poolBytes) {
 			randomFillSync(this._pool);
--- a/src/node/logging/trace-context.ts
+++ b/src/node/logging/trace-context.ts
@@ -1,11 +1,11 @@
-/** The identifier that follows a call through all its log lines (W3C Trace Context, level 1). */
+/** Trace identifiers, which connect all log lines of a call (W3C Trace Context, level 1). */
 import {RandomDigits} from './random-digits.ts';
 
-/** A call's place in its trace. */
+/** Trace context of a call. */
 export type TraceContext = {
-	/** 32 hexadecimal digits: the same in every line about the call, on every VM and level it passes. */
+	/** 32 hexadecimal digits, the same in every log line of the call on all VMs and services that it passes. */
 	readonly traceId: string;
-	/** Value of `traceparent` for the call to the backend server, with a span of this VM. */
+	/** Value of the `traceparent` header sent to the backend server, with a span of this VM. */
 	readonly traceparent: string;
 };
 
@@ -14,7 +14,7 @@
 const traceBytes = 16;
 const digits = new RandomDigits();
 
-/** Continues the trace of the caller's header; a lacking or malformed one begins a new trace. */
+/** Continues the trace of the caller's `traceparent` header; starts a new trace if the header is missing or malformed. */
 export function continueTrace(header: string | undefined): TraceContext {
 	const found = traceparentPattern.exec(header ?? '')?.groups;
 	const traceId = found?.traceId ?? digits.take(traceBytes);
--- a/src/node/logging/types.ts
+++ b/src/node/logging/types.ts
@@ -1,9 +1,9 @@
-/** Logging as the rest of the code sees it. */
+/** Interfaces of the log. */
 import {type LogLevel} from '../../common/settings/settings.ts';
 
 /**
- * Fields of a log line. Only plain values fit, so that no body, header list or settings object can
- * slip into a log whole.
+ * Fields of a log line. Only primitive values are allowed, so that bodies, header lists and settings objects are never
+ * logged as a whole.
  */
 export type LogFields = Readonly<Record<string, string | number | boolean | null | undefined>>;
 
@@ -14,13 +14,13 @@
 	info(message: string, fields?: LogFields): void;
 	warn(message: string, fields?: LogFields): void;
 	error(message: string, fields?: LogFields): void;
-	/** A logger that adds these fields to each of its lines, such as the trace id of a call. */
+	/** Returns a logger that adds these fields to each of its lines, such as the trace id of a call. */
 	with(fields: LogFields): Logger;
-	/** Whether lines of this level are written: asked before fields are gathered on a path of calls. */
+	/** Whether lines of this level are written. Checked before fields are collected where this would slow down calls. */
 	isEnabled(level: LogLevel): boolean;
 };
 
-/** Reads and changes the level while the process runs. */
+/** Reads and changes the log level at run time. */
 export type LogControl = {
 	level(): LogLevel;
 	setLevel(level: LogLevel): void;
--- a/src/node/metrics/catalogue.ts
+++ b/src/node/metrics/catalogue.ts
@@ -1,19 +1,18 @@
-/** Every metric that a VM sends. The operators' page is checked against this list by a test. */
+/** Definitions of all metrics that a VM sends to StatsD. A test compares the operators' page with this list. */
 
 /** A metric's StatsD type. */
 export type MetricType = 'counter' | 'timing' | 'gauge';
 
 export type MetricDefinition = {
 	readonly type: MetricType;
-	/** Tags besides `vm` and `data_centre`, which all metrics have. */
+	/** Tags in addition to `vm` and `data_centre`, which all metrics have. */
 	readonly tags: readonly string[];
 	readonly describe: string;
 };
 
 /**
- * Tags are services, outcomes and the like, whose number the operator decides. Callers, keys and
- * fingerprints are never tags: their number is the callers' to decide, and each value costs the metrics
- * system a series.
+ * Tags have few values, bounded by the operator's configuration, such as services and outcomes. Callers, keys and
+ * fingerprints are never tags: callers determine their number, and each value adds a series to the metrics system.
  */
 export const metricCatalogue = {
 	'calls.ended': {
@@ -46,10 +45,10 @@
 
 export type MetricName = keyof typeof metricCatalogue;
 
-/** Names of one type. */
+/** Names of the metrics of one type. */
 export type MetricNameOf<Type extends MetricType> = {
 	[Name in MetricName]: (typeof metricCatalogue)[Name]['type'] extends Type ? Name : never;
 }[MetricName];
 
-/** The tags that a metric must carry. */
+/** Tags that a metric requires. */
 export type TagsOf<Name extends MetricName> = Readonly<Record<(typeof metricCatalogue)[Name]['tags'][number], string>>;
--- a/src/node/metrics/counted-parts.ts
+++ b/src/node/metrics/counted-parts.ts
@@ -1,4 +1,4 @@
-/** Wraps parts so that what passes through them is counted. */
+/** Wrappers of clients that count their requests in the metrics. */
 import {type CallEffect} from '../../common/calls/types.ts';
 import {type StoreOperation, type StoreReply} from '../../common/platform/types.ts';
 import {type Clock} from '../clock.ts';
@@ -7,7 +7,7 @@
 import {type CallEventSink} from '../front/types.ts';
 import {type Metrics} from './types.ts';
 
-/** Counts requests to the platform's service, each with its reply and time. */
+/** Counts requests to the platform's service by operation and reply, and records their duration. */
 export class CountedPlatformClient implements PlatformClient {
 	private readonly _client: PlatformClient;
 	private readonly _clock: Clock;
@@ -34,7 +34,7 @@
 	}
 }
 
-/** Counts measuring calls by service. */
+/** Counts load probes by service. */
 export class CountedMeasurer implements LoadProbeClient {
 	private readonly _measurer: LoadProbeClient;
 	private readonly _metrics: Metrics;
--- a/src/node/metrics/metrics.test.ts
+++ b/src/node/metrics/metrics.test.ts
@@ -25,7 +25,7 @@
 	workMilliseconds: 10, isWorkLearnt: true, objectiveLeftMilliseconds: 300, timeLeftMilliseconds: 1000,
 };
 
-/** The lines of the metrics page's table. */
+/** Returns the rows of the table on the metrics page. */
 function documented(): string[] {
 	const page = readFileSync('docs/operators/metrics.md', 'utf8');
 	return page.split('\n').filter(line => line.startsWith('| `'));
@@ -48,7 +48,7 @@
 		socket.close();
 	});
 
-	it('sends each metric of the list with its tags, and no other', async function () {
+	it('sends exactly the metrics of the catalogue, with their tags', async function () {
 		const metrics = new StatsdMetrics(settingsFor(socket.address().port), () => undefined, {bufferFlushInterval: 20, aggregation: {flushInterval: 20}});
 		const lines = new Set<string>();
 		const names = Object.keys(metricCatalogue);
@@ -86,8 +86,8 @@
 		expect([...sent()].toSorted()).toEqual(names.toSorted());
 	});
 
-	// Guards the counts of the last second against the end of the process.
-	it('sends what it has counted when it ends', async () => {
+	// Fails if the counts of the last second are lost at the end of the process.
+	it('sends pending counts when it is disposed', async () => {
 		const metrics = new StatsdMetrics(settingsFor(socket.address().port), () => undefined, {bufferFlushInterval: 60_000, aggregation: {flushInterval: 60_000}});
 		metrics.callEnded({
 			service: 'ordering', outcome: 'ran', reason: undefined, attempts: 1, milliseconds: 12, queuedMilliseconds: 3, isGood: true,
@@ -104,8 +104,8 @@
 		expect(names.toSorted()).toEqual(['jaydale.calls.ended', 'jaydale.operators.requests']);
 	});
 
-	// Guards calls against a metrics server that is down.
-	it('survives a server that is not there', async () => {
+	// Fails if an unreachable metrics server disturbs the process.
+	it('ignores an unreachable server', async () => {
 		const {port} = socket.address();
 		socket.close();
 		const metrics = new StatsdMetrics(settingsFor(port), () => undefined, {bufferFlushInterval: 1, aggregation: {flushInterval: 1}});
@@ -117,7 +117,7 @@
 		socket = createSocket('udp4');
 	});
 
-	it('is documented line by line', () => {
+	it('matches the table on the operators\' page', () => {
 		expect(documented()).toEqual(Object.entries(metricCatalogue).map(([name, definition]) => documentLine(name, definition)));
 	});
 });
--- a/src/node/metrics/no-metrics.ts
+++ b/src/node/metrics/no-metrics.ts
@@ -1,11 +1,11 @@
-/** Metrics that go nowhere, for a VM whose settings ask for none. */
+/** Discards all metrics, for a VM whose settings disable them. */
 import {type Metrics} from './types.ts';
 
 function ignore(): void {
-	// Nobody listens.
+	// Metrics are disabled.
 }
 
-/** Takes everything and sends nothing. */
+/** An implementation of `Metrics` without effects. */
 export const noMetrics: Metrics = {
 	callEnded: ignore,
 	answerCut: ignore,
--- a/src/node/metrics/page-metrics.test.ts
+++ b/src/node/metrics/page-metrics.test.ts
@@ -1,8 +1,8 @@
 import {expect} from 'earl';
 import {PageMetrics} from './page-metrics.ts';
 
-describe('the page of metrics', () => {
-	it('counts calls and their times', async function () {
+describe('PageMetrics', () => {
+	it('counts calls and records their durations', async function () {
 		const metrics = new PageMetrics();
 		for (const milliseconds of [40, 140, 20_000]) {
 			metrics.callEnded({
--- a/src/node/metrics/page-metrics.ts
+++ b/src/node/metrics/page-metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Counters and histograms as a page of text in the Prometheus format, for operators who fetch metrics instead of
- * receiving them. Its memory is bounded: times fall into fixed bounds, and labels are those of declared services.
+ * Counters and histograms as a page in the Prometheus text format, for operators who pull metrics instead of receiving
+ * them. Memory is bounded: histograms have fixed buckets, and the label values are declared services.
  */
 import {
 	Counter, Gauge, Histogram, Registry,
@@ -9,7 +9,7 @@
 import {type Milliseconds} from '../../common/model/units.ts';
 import {type Metrics, type VmGauges} from './types.ts';
 
-/** Upper bounds in milliseconds: steps of about two around the objectives, 50 ms to 10 s. */
+/** Upper bounds of the histogram buckets in milliseconds, from 50 ms to 10 s in steps of a factor of about two or less; narrower around the usual objectives. */
 const buckets: Milliseconds[] = [50, 100, 150, 200, 300, 400, 600, 800, 1200, 2500, 5000, 10_000];
 
 export class PageMetrics implements Metrics {
@@ -89,7 +89,7 @@
 		}
 	}
 
-	/** The whole page. */
+	/** Returns the page in the Prometheus text format. */
 	async text(): Promise<string> {
 		return this._registry.metrics();
 	}
--- a/src/node/metrics/statsd-metrics.ts
+++ b/src/node/metrics/statsd-metrics.ts
@@ -7,30 +7,30 @@
 import {type MetricNameOf, type TagsOf} from './catalogue.ts';
 import {type Metrics, type VmGauges} from './types.ts';
 
-/** A datagram that fits an Ethernet frame with room for tunnels' headers. */
+/** Maximum size of a datagram; fits an Ethernet frame with room for the headers of tunnels. */
 const datagramBytes = 1400;
 const flushMilliseconds = 1000;
 
 /**
- * Times of one call in so many are sent. Counters are summed up before they are sent, times cannot be: at
- * 10,000 calls a second each would be 20,000 lines, and one in ten still gives the 99.9th percentile of
- * a minute from 60,000 values.
+ * One call in this many has its durations sent. Counters are aggregated before they are sent, durations cannot be: at 10,000
+ * calls a second, sending all would take 20,000 lines a second. One in ten still gives 60,000 values a minute, enough for
+ * the 99.9th percentile.
  */
 const callsPerTiming = 10;
 
-/** Ended calls of one kind since the latest flush. */
+/** Number of ended calls with the same tags since the last flush. */
 type CallTally = {readonly tags: TagsOf<'calls.ended'>; calls: number};
 
-/** Sends what happens to a StatsD server; a server that is down loses metrics and nothing else. */
+/** Sends metrics to a StatsD server. If the server is down, metrics are lost without any other effect. */
 export class StatsdMetrics extends Disposable implements Metrics {
 	private readonly _client: StatsD;
-	/** Summed up here, as the client takes 3 µs for each count with tags. */
+	/** Aggregated here, because the StatsD client takes 3 µs for each increment with tags. */
 	private readonly _ended = new Map<string, CallTally>();
 	private _calls = 0;
 
 	/**
-	 * @param onTrouble told when a datagram could not be sent
-	 * @param overrides for tests
+	 * @param onTrouble called with the error message when a datagram could not be sent
+	 * @param overrides client options for tests
 	 */
 	constructor(settings: Settings, onTrouble: (message: string) => void, overrides: ClientOptions = {}) {
 		super();
--- a/src/node/metrics/types.ts
+++ b/src/node/metrics/types.ts
@@ -1,8 +1,8 @@
-/** Metrics as the rest of the code sees them: one method for each event, so that names and tags stand in one place. */
+/** Interface for reporting metrics: one method per event, so that metric names and tags are defined in one place. */
 import {type CallSummary} from '../../common/calls/types.ts';
 import {type Milliseconds} from '../../common/model/units.ts';
 
-/** State of a VM that is sampled, not counted. */
+/** State of a VM that is sampled periodically. */
 export type VmGauges = {
 	readonly callsInFlight: number;
 	readonly callsQueued: number;
@@ -10,32 +10,32 @@
 	readonly configurationVersion: number;
 	/** Event loop utilisation, 0 to 1. */
 	readonly utilisation: number;
-	/** Part of the fleet's measuring budgets that this VM holds, 0 to 1. */
+	/** Share of the fleet's measuring budgets that this VM holds, 0 to 1. */
 	readonly measuringPart: number;
 };
 
-/** Reports what happens to the operators' metrics system. Never throws and never waits. */
+/** Reports events to the operators' metrics system. Never throws and never blocks. */
 export type Metrics = {
-	/** One call has ended. */
+	/** A call has ended. */
 	callEnded(summary: CallSummary): void;
-	/** An answer's connection was closed before the system had all of the answer. */
+	/** A connection was closed before the operating system had accepted the complete answer. */
 	answerCut(closedBy: 'caller' | 'here'): void;
-	/** Data centres that are evacuated now, as far as this VM knows. */
+	/** Number of data centres that are evacuated according to this VM's configuration. */
 	evacuations(dataCentres: number): void;
-	/** Backend servers that name a rate limit now, as far as this VM knows. */
+	/** Number of backend servers whose latest answers to this VM declare a rate limit. */
 	rateLimits(limitedServers: number): void;
-	/** A backend server named a rate limit that cannot be read. */
+	/** A backend server declared a rate limit that cannot be parsed. */
 	rateLimitUnreadable(service: string): void;
-	/** A configuration could not be read; `route` = the one at fault, where it is one. */
+	/** A configuration was rejected; `route` = the invalid route, undefined if the error is not in a route. */
 	configurationRejected(route: string | undefined): void;
-	/** A call whose only purpose is to learn a backend server's load was made. */
+	/** A load probe was sent to a backend server of the service. */
 	measured(service: string): void;
-	/** A request to the platform's service has ended, for instance `get` with `unavailable`. */
+	/** A request to the platform's service has ended, for example operation `get` with reply `unavailable`. */
 	platformCalled(operation: string, reply: string, milliseconds: Milliseconds): void;
-	/** Bytes and messages between VMs since the last report. */
+	/** Messages and bytes exchanged with other VMs since the last report. */
 	peerTraffic(direction: 'in' | 'out', messages: number, bytes: number): void;
 	/** A request of an operator was answered. */
 	operatorAnswered(method: string, status: number): void;
-	/** The VM's state now. */
+	/** Current state of the VM. */
 	gauges(values: VmGauges): void;
 };
--- a/src/node/peers/burn-codec.ts
+++ b/src/node/peers/burn-codec.ts
@@ -1,4 +1,4 @@
-/** Burn counts as they cross gRPC. */
+/** Conversion of burn counts to and from their gRPC messages. */
 import {err, ok, type Result} from 'neverthrow';
 import {z} from 'zod';
 import {burnWindowNameSchema, processCountsSchema, type ProcessCounts} from '../../common/burn/types.ts';
@@ -15,11 +15,11 @@
 });
 const wireToldSchema = z.object({own: wireCountsSchema, copies: z.array(wireCountsSchema)});
 
-/** Counts in the form of `proto/burn.proto`. */
+/** Counts as defined in `proto/burn.proto`: buckets are flat lists of numbers. */
 export type WireCounts = z.infer<typeof wireCountsSchema>;
 export type WireTold = z.infer<typeof wireToldSchema>;
 
-/** What one VM told. */
+/** Counts of one VM's process, and the copies that the VM stores. */
 export type Told = {readonly own: ProcessCounts; readonly copies: readonly ProcessCounts[]};
 
 export function countsToWire(counts: ProcessCounts): WireCounts {
@@ -35,16 +35,16 @@
 export function countsFromWire(input: unknown): Result<ProcessCounts, Failure<'malformed-message'>> {
 	const wire = wireCountsSchema.safeParse(input);
 	const parsed = wire.success ? processCountsSchema.safeParse(unfold(wire.data)) : wire;
-	return parsed.success ? ok(parsed.data) : err(failure('malformed-message', 'The counts are not of the agreed form.'));
+	return parsed.success ? ok(parsed.data) : err(failure('malformed-message', 'The burn counts are invalid.'));
 }
 
 export function toldFromWire(input: unknown): Result<Told, Failure<'malformed-message'>> {
 	const wire = wireToldSchema.safeParse(input);
 	if (!wire.success) {
-		return err(failure('malformed-message', 'The counts are not of the agreed form.'));
+		return err(failure('malformed-message', 'The burn counts are invalid.'));
 	}
 
-	// A copy that is not of the agreed form is left out; the rest still counts.
+	// Invalid copies are dropped; the others are still used.
 	const copies = wire.data.copies.flatMap(copy => countsFromWire(copy).match(value => [value], () => []));
 	return countsFromWire(wire.data.own).map(own => ({own, copies}));
 }
--- a/src/node/peers/burn-exchange.ts
+++ b/src/node/peers/burn-exchange.ts
@@ -1,4 +1,4 @@
-/** Gathers the counts of all VMs, and leaves copies of this one's with others. */
+/** Collects the burn counts of all VMs and stores copies of this VM's counts on other VMs. */
 import {type sendUnaryData, type ServerUnaryCall, status} from '@grpc/grpc-js';
 import {type BurnCopies} from '../../common/burn/burn-copies.ts';
 import {type ProcessCounts} from '../../common/burn/types.ts';
@@ -12,31 +12,32 @@
 import {type GrpcPeerTransport} from './grpc-peer-transport.ts';
 import {loadService, type UntypedService} from './proto-file.ts';
 
-/** A copy lies with this many other VMs: one may go together with its owner. */
+/** Number of other VMs that store a copy of this VM's counts. More than one, because one of them may fail together with this VM. */
 const copyHolders = 2;
 
-/** What a crash loses at most of the counts. */
+/** Interval between copies, and thus the maximum time of counts that a crash loses. */
 const copyEvery: Milliseconds = 30_000;
 
-/** What the other VMs answered. */
+/** Answers of the other VMs. */
 export type GatheredCounts = {
 	readonly told: readonly ProcessCounts[];
 	readonly copies: readonly ProcessCounts[];
 	readonly answered: readonly PeerAddress[];
+	/** VMs that did not answer in time. */
 	readonly silent: readonly PeerAddress[];
 };
 
-/** What the exchange works with. */
+/** Dependencies of the exchange. */
 export type BurnExchangeParts = {
 	readonly transport: GrpcPeerTransport;
 	readonly clock: Clock;
 	readonly copies: BurnCopies;
 	readonly own: () => ProcessCounts;
-	/** Other VMs that serve, in an order of their own that is stable for this VM. */
+	/** Returns the other serving VMs, in an order that is stable on this VM; the first ones store its copies. */
 	readonly peers: () => readonly PeerAddress[];
 };
 
-/** One VM's side of the exchange. */
+/** Exchanges burn counts with the other VMs over gRPC. */
 export class BurnExchange extends Disposable {
 	private readonly _parts: BurnExchangeParts;
 	private readonly _service: UntypedService = loadService('burn.proto', 'jaydale.burn.v1.Burn');
@@ -56,7 +57,7 @@
 		});
 	}
 
-	/** Asks all other VMs at once; one that does not answer in time is named. */
+	/** Requests the counts of all other VMs concurrently. VMs that do not answer in time are listed in `silent`. */
 	async gather(): Promise<GatheredCounts> {
 		const peers = this._parts.peers();
 		const answers = await Promise.all(peers.map(async address => ({address, told: await this._ask(address)})));
@@ -69,7 +70,7 @@
 		};
 	}
 
-	/** Leaves copies with other VMs from now on. */
+	/** Starts to send copies to other VMs periodically. */
 	start(): void {
 		this._timer.value = this._parts.clock.after(copyEvery, () => {
 			void this.leaveCopies();
@@ -77,7 +78,7 @@
 		});
 	}
 
-	/** Leaves a copy of the present counts; also the last act of a planned stop. */
+	/** Sends a copy of the current counts to other VMs; also the last step of a planned stop. */
 	async leaveCopies(): Promise<void> {
 		const counts = countsToWire(this._parts.own());
 		const holders = this._parts.peers().slice(0, copyHolders);
--- a/src/node/peers/grpc-peer-transport.test.ts
+++ b/src/node/peers/grpc-peer-transport.test.ts
@@ -62,7 +62,7 @@
 	{type: 'drain', identity: 'vm-b'},
 ];
 
-/** Every field that rides along: one that the .proto file or the codec lacks makes the test fail. */
+/** All piggybacked fields, so that the test fails if the .proto file or the codec lacks one. */
 const rumours: Required<Omit<PeerMessage, 'protocol' | 'sender' | 'body'>> = {
 	storeContactAgeMilliseconds: 3,
 	leavingDigest: 2_147_483_646,
@@ -80,17 +80,17 @@
 	],
 };
 
-/** The order of members says nothing. */
+/** Replacer for `JSON.stringify` that makes the order of object members irrelevant. */
 function sortedKeys(_key: string, value: unknown): unknown {
 	return typeof value === 'object' && value !== null && !Array.isArray(value)
 		? Object.fromEntries(Object.entries(value).toSorted(([a], [b]) => (a < b ? -1 : 1)))
 		: value;
 }
 
-/** What came of messages. */
+/** Received messages and failures of an exchange. */
 type Exchanged = {readonly received: readonly PeerMessage[]; readonly troubles: readonly string[]};
 
-/** Sends over real sockets until something comes of it. */
+/** Sends messages over sockets; resolves when each has been received or has failed. */
 async function exchange(receiver: GrpcPeerTransport, sender: GrpcPeerTransport, messages: readonly PeerMessage[]): Promise<Exchanged> {
 	const received: PeerMessage[] = [];
 	const troubles: string[] = [];
@@ -127,7 +127,7 @@
 
 const newKey = ['-newkey', 'ec', '-pkeyopt', 'ec_paramgen_curve:P-256', '-nodes'];
 
-/** An authority and certificates, made once for all tests of this file. */
+/** An authority and certificates, created once for all tests of this file. */
 class TestCertificates {
 	readonly folder = mkdtempSync(join(tmpdir(), 'jaydale-tls-'));
 
@@ -150,7 +150,7 @@
 	issue(name: string, authority: string, ip: string, from: string, until: string): void {
 		writeFileSync(this._path(`${name}.ext`), `subjectAltName=IP:${ip}\n`);
 		this._openssl('req', ...newKey, '-subj', `/CN=${name}`, '-keyout', `${name}.key`, '-out', `${name}.csr`);
-		// Of openssl 3.0 only the command `ca` takes both dates.
+		// In OpenSSL 3.0 only the command `ca` accepts both dates.
 		const section = ['new_certs_dir=.', 'database=index.txt', 'serial=serial', 'default_md=sha256', 'policy=p'];
 		writeFileSync(this._path('ca.cnf'), ['[ca]', 'default_ca=d', '[d]', ...section, '[p]', 'commonName=supplied', ''].join('\n'));
 		writeFileSync(this._path('index.txt'), '');
@@ -179,7 +179,7 @@
 }
 
 describe('messages between VMs', () => {
-	it('pass over gRPC whole, with all rumours, and are counted', async () => {
+	it('are transferred over gRPC with all fields and rumours, and are counted', async () => {
 		const sender = new GrpcPeerTransport(`${address}:0`, plainCredentials(), () => 0);
 		const receiver = new GrpcPeerTransport(`${address}:0`, plainCredentials(), () => 0);
 		const messages = bodies.map((body, index) => message(body, index % 2 === 0 ? rumours : {}));
@@ -191,9 +191,9 @@
 		expect(sender.traffic.bytesOut).toEqual(receiver.traffic.bytesIn);
 	});
 
-	// Another VM of an older or broken version, or somebody who found the port, sends what does not fit. Taken
-	// as it is, it could raise versions or members that do not exist.
-	it('are refused as a whole if anything in them does not fit', () => {
+	// Guards against invalid messages from VMs of an older or faulty version, or from anyone who can reach the port. If
+	// accepted, they could introduce versions or members that do not exist.
+	it('are rejected as a whole if any part is invalid', () => {
 		fc.assert(fc.property(fc.object({maxDepth: 3}), value => {
 			expect(fromWire(value).isErr()).toEqual(true);
 		}), {seed: 5, numRuns: 300});
@@ -217,9 +217,9 @@
 			certificates.dispose();
 		});
 
-		// A certificate runs out or is issued wrongly. Without a word on which and why, an operator sees VMs that
-		// take one another for dead.
-		it('says what is wrong with the files of this VM', function () {
+		// Guards against unexplained failures when a certificate expires or is issued incorrectly: without the file and the
+		// reason, an operator sees only VMs that consider one another dead.
+		it('reports the error in the files of this VM', function () {
 			const now = new Date();
 			const kinds = Object.fromEntries(['good', 'expired', 'elsewhere', 'stranger', 'missing'].map(name => {
 				const checked = checkTlsFiles(certificates.files(name), address, now);
@@ -229,7 +229,7 @@
 			expect({...kinds, mixed: checkTlsFiles(mixed, address, now)._unsafeUnwrapErr().kind}).toMatchSnapshot(this);
 		});
 
-		it('passes messages between VMs of one authority only, and names the fault', async function () {
+		it('transfers messages only between VMs with certificates of one authority, and reports the error otherwise', async function () {
 			const outcomes: Record<string, unknown> = {};
 			const run = async (name: string, receiverFiles: TlsFiles, senderFiles: TlsFiles | undefined, ownAddress = address): Promise<void> => {
 				const receiver = new GrpcPeerTransport(`${address}:0`, watchTlsFiles(receiverFiles, ownAddress), () => 0);
@@ -243,15 +243,14 @@
 			await run('expired client', certificates.files('good'), certificates.files('expired'));
 			await run('stranger as server', certificates.files('stranger'), certificates.files('good'));
 			await run('stranger as client', certificates.files('good'), certificates.files('stranger'));
-			// Its own files fit it, but not the address by which it is reached.
+			// The receiver's files are valid for its own address setting, but not for the address to which the sender connects.
 			await run('other address', certificates.files('elsewhere'), certificates.files('good'), '10.9.9.9');
 			await run('plain client', certificates.files('good'), undefined);
 			expect(outcomes).toMatchSnapshot(this);
 		});
 
-		// A certificate runs out; the operator puts a new one in its place. Without reading it again, every VM would
-		// have to be restarted before the old one ends.
-		it('takes renewed files without a restart', async () => {
+		// Guards against a restart of every VM for a renewed certificate: the files must be read again before the old one expires.
+		it('uses renewed files without a restart', async () => {
 			certificates.copy('good', 'live');
 			const files = certificates.files('live');
 			const receiver = new GrpcPeerTransport(`${address}:0`, watchTlsFiles(files, address, 20), () => 0);
--- a/src/node/peers/grpc-peer-transport.ts
+++ b/src/node/peers/grpc-peer-transport.ts
@@ -1,4 +1,4 @@
-/** Messages between VMs over gRPC: one unary call each way, so that every message has a deadline of its own. */
+/** Transport of messages between VMs over gRPC. Each message is a unary call, so that it has its own deadline. */
 import {
 	Client, type MethodDefinition, Server, type ServiceDefinition, status, type sendUnaryData, type ServerUnaryCall, type UntypedServiceImplementation,
 } from '@grpc/grpc-js';
@@ -17,13 +17,13 @@
 
 export type PeerTransportFailureKind = 'cannot-listen' | PeerCredentialsFailureKind;
 
-/** What went wrong between this VM and another. */
+/** A failure in the communication with another VM, or in this VM's own certificate. */
 export type PeerTrouble = {
 	readonly address: PeerAddress;
 	readonly failure: Failure<PeerCredentialsFailureKind | 'malformed-message' | 'unreachable'>;
 };
 
-/** Bytes and messages since the start; gRPC's own framing and headers are not in them. */
+/** Messages and bytes since the start, without gRPC's framing and headers. */
 export type PeerTraffic = {
 	readonly messagesOut: number;
 	readonly bytesOut: number;
@@ -31,23 +31,23 @@
 	readonly bytesIn: number;
 };
 
-/** A message not taken within this time counts as undeliverable: it is far above any round trip of today's. */
+/** Deadline of a message, after which it counts as undeliverable; far above the round-trip times between VMs. */
 const deadlineMilliseconds = 1000;
 
-/** A connection to a VM not spoken to for so long is closed: at the target size nobody keeps one to everybody. */
+/** Idle time after which a connection is closed; in the largest supported fleet no VM keeps connections to all others. */
 const idleMilliseconds = 60_000;
 
-/** How often the own certificate is looked at. */
+/** Interval between checks of this VM's own certificate. */
 const fileCheckMilliseconds = 60_000;
 
-/** Largest message: a page of resources or a list of changes with room to spare. */
+/** Maximum size of a message; pages of resources and lists of changes are well below it. */
 const messageBytes = 4 * 1024 * 1024;
 
 const clientOptions = {
 	'grpc.initial_reconnect_backoff_ms': 100,
 	'grpc.max_reconnect_backoff_ms': 1000,
 	'grpc.max_receive_message_length': messageBytes,
-	// Each address its own pool, so that closing a silent connection really opens a new one.
+	// Without a pool per client, a new client would reuse the silent connection that was just closed.
 	'grpc.use_local_subchannel_pool': 1,
 };
 
@@ -55,12 +55,12 @@
 
 type DeliverMethod = MethodDefinition<WireMessage, WireMessage>;
 
-/** IP number of `IP:PORT`, without the brackets of IPv6. */
+/** Returns the IP number of `IP:PORT`, without the brackets of IPv6. */
 function hostOf(address: PeerAddress): string {
 	return address.slice(0, address.lastIndexOf(':')).replaceAll(/[\[\]]/gv, '');
 }
 
-/** Services beside the messages, on the same listener. */
+/** An additional gRPC service on the same listener. */
 type FurtherService = {readonly definition: ServiceDefinition; readonly implementation: UntypedServiceImplementation};
 
 export class GrpcPeerTransport extends Disposable implements PeerTransport {
@@ -78,7 +78,7 @@
 
 	readonly onMessage = this._onMessage.event;
 	readonly onUnreachable = this._onUnreachable.event;
-	/** For logs and metrics. */
+	/** Fires for each failure, for logs and metrics. */
 	readonly onTrouble = this._onTrouble.event;
 
 	/** @param _listenAddress `IP:PORT` to listen on; port 0 takes a free one */
@@ -91,19 +91,18 @@
 		this._deliver = loadService('peers.proto', 'jaydale.peers.v1.Peers').Deliver!;
 	}
 
-	/** Traffic counted since the start. */
 	get traffic(): PeerTraffic {
 		return {
 			messagesOut: this._messagesOut, bytesOut: this._bytesOut, messagesIn: this._messagesIn, bytesIn: this._bytesIn,
 		};
 	}
 
-	/** Serves further methods on the same listener; to be called before `listen`. */
+	/** Adds a gRPC service to the listener; must be called before `listen`. */
 	addService(definition: ServiceDefinition, implementation: UntypedServiceImplementation): void {
 		this._further.push({definition, implementation});
 	}
 
-	/** Asks another VM and waits for its answer, at most for the time of a message. */
+	/** Sends a request to another VM and resolves with its response; fails after the deadline of a message. */
 	async ask(to: PeerAddress, method: UntypedMethod, request: object): Promise<Result<object, Failure<'unreachable'>>> {
 		const peer = this._peer(to);
 		return new Promise(resolve => {
@@ -114,7 +113,7 @@
 		});
 	}
 
-	/** Opens the listener; answers with its port. */
+	/** Opens the listener; resolves with its port. */
 	async listen(): Promise<Result<number, Failure<PeerTransportFailureKind>>> {
 		const checked = this._credentials.check();
 		if (checked.isErr()) {
@@ -165,7 +164,7 @@
 		});
 	}
 
-	/** A certificate runs out while the process runs: other VMs only drop the connection, so this one says why. */
+	/** Checks periodically whether the own certificate has expired, and reports it: other VMs only drop the connection. */
 	private _checkFilesLater(): void {
 		const timer = setInterval(() => {
 			const checked = this._credentials.check();
@@ -217,9 +216,9 @@
 	}
 
 	/**
-	 * Guard: a connection can go silent for good while new ones to the same VM work. It shows as a deadline that
-	 * passes without an error; the connection is given up, and the next message opens another. A dead VM costs
-	 * one attempt a message that way, and those are bounded by the probing.
+	 * Reports the failure, and closes the connection if the deadline passed without an error. A connection can stop
+	 * transferring data permanently while new connections to the same VM work; the next message then opens a new one. To a
+	 * dead VM every message opens a connection in vain, but the membership probes limit the number of such messages.
 	 */
 	private _takeError(to: PeerAddress, peer: Peer, error: {readonly code: number; readonly details: string}): void {
 		if (error.code === Number(status.DEADLINE_EXCEEDED)) {
--- a/src/node/peers/peer-codec.ts
+++ b/src/node/peers/peer-codec.ts
@@ -1,4 +1,4 @@
-/** Between the engine's messages and their protobuf form. What comes in is checked by the engine's schema. */
+/** Converts the fleet engine's messages to and from protobuf. Received messages are validated with the engine's schema. */
 import {err, ok, type Result} from 'neverthrow';
 import {z} from 'zod';
 import {failure, type Failure} from '../../common/errors/failure.ts';
@@ -6,10 +6,10 @@
 
 export type PeerCodecFailureKind = 'malformed-message';
 
-/** A message as the protobuf library takes and gives it. */
+/** A message as a plain object of the protobuf library. */
 export type WireMessage = Readonly<Record<string, unknown>>;
 
-/** Names of the bodies in the .proto file; `members` there is the list of rumours. */
+/** Field names of the bodies in the .proto file, where `members` is the list of membership rumours. */
 const bodyFields: Readonly<Record<PeerBody['type'], string>> = {
 	ping: 'ping',
 	'ping-answer': 'pingAnswer',
@@ -48,7 +48,7 @@
 	return {[bodyFields[type]]: fields};
 }
 
-/** The protobuf form of a message. */
+/** Converts a message to its protobuf form. */
 export function toWire(message: PeerMessage): WireMessage {
 	const {body, members, ...rest} = message;
 	return {
@@ -58,7 +58,7 @@
 	};
 }
 
-/** The library marks which optional field is set by a property of its own; those begin with an underscore. */
+/** Removes absent fields, and the library's properties that mark optional fields as set, which begin with an underscore. */
 function withoutMarks(value: unknown): Record<string, unknown> {
 	const parsed = objectSchema.safeParse(value);
 	return parsed.success ? Object.fromEntries(Object.entries(parsed.data).filter(([name, field]) => !name.startsWith('_') && field !== undefined && field !== null)) : {};
@@ -104,7 +104,7 @@
 	};
 }
 
-/** Checks what came over the wire. Nothing of a message that does not fit is used. */
+/** Validates and converts a received message. An invalid message is rejected as a whole. */
 export function fromWire(wire: unknown): Result<PeerMessage, Failure<PeerCodecFailureKind>> {
 	try {
 		const parsed = peerMessageSchema.safeParse(messageFromWire(objectSchema.parse(wire)));
@@ -113,8 +113,8 @@
 		}
 
 		const issue = parsed.error.issues[0];
-		return err(failure('malformed-message', `A message from another VM does not fit: ${issue?.message ?? 'no detail'}.`, {field: issue?.path.join('.')}));
+		return err(failure('malformed-message', `Invalid message from another VM: ${issue?.message ?? 'no detail'}.`, {field: issue?.path.join('.')}));
 	} catch {
-		return err(failure('malformed-message', 'A message from another VM does not fit: it holds a part that is not JSON.'));
+		return err(failure('malformed-message', 'Invalid message from another VM: a part is malformed or not valid JSON.'));
 	}
 }
--- a/src/node/peers/peer-credentials.ts
+++ b/src/node/peers/peer-credentials.ts
@@ -1,4 +1,4 @@
-/** Mutual TLS between VMs from files, read again when they change; and a clear word on what is wrong with them. */
+/** Mutual TLS between VMs. Certificate files are reloaded when they change, and errors in them are reported as typed failures. */
 import {X509Certificate, createPrivateKey} from 'node:crypto';
 import {readFileSync} from 'node:fs';
 import {checkServerIdentity} from 'node:tls';
@@ -25,21 +25,21 @@
 	readonly authorityFile: string;
 };
 
-/** What gRPC takes for both directions. */
+/** gRPC credentials of a VM as server and as client. */
 export type PeerCredentials = {
 	readonly server: ServerCredentials;
-	/** For connections to one IP number: its certificate must be for that number. */
+	/** Returns credentials for connections to one IP number; the server's certificate must be valid for that number. */
 	channelTo(host: string): ChannelCredentials;
-	/** Options that such a channel needs. */
+	/** Channel options that these credentials require. */
 	readonly channelOptions: ChannelOptions;
-	/** Looks at the files of this VM as they are now. */
+	/** Checks the current content of this VM's files. */
 	check(): Result<void, Failure<PeerCredentialsFailureKind>>;
 };
 
-/** TLS forbids IP numbers as server names (RFC 6066), so all VMs are called alike and the number is checked against the certificate. */
+/** Server name of all VMs: TLS forbids IP numbers as server names (RFC 6066), so the IP number is checked against the certificate separately. */
 const serverName = 'vm.jaydale.internal';
 
-/** How soon a changed file is noticed. */
+/** Interval at which the files are checked for changes. */
 const refreshMilliseconds = 5000;
 
 type Read = Result<string, Failure<PeerCredentialsFailureKind>>;
@@ -56,7 +56,7 @@
 	try {
 		return ok(new X509Certificate(text));
 	} catch {
-		return err(failure('malformed-certificate', 'The file holds no certificate in PEM form.', {field}));
+		return err(failure('malformed-certificate', 'The file contains no certificate in PEM format.', {field}));
 	}
 }
 
@@ -74,13 +74,13 @@
 	try {
 		return certificate.checkPrivateKey(createPrivateKey(text))
 			? ok(certificate)
-			: err(failure('key-mismatch', 'The private key is not that of the certificate.', {field: 'peers.tls.keyFile'}));
+			: err(failure('key-mismatch', 'The private key does not belong to the certificate.', {field: 'peers.tls.keyFile'}));
 	} catch {
-		return err(failure('malformed-key', 'The file holds no private key in PEM form.', {field: 'peers.tls.keyFile'}));
+		return err(failure('malformed-key', 'The file contains no private key in PEM format.', {field: 'peers.tls.keyFile'}));
 	}
 }
 
-/** Looks at the files as they are now. `address` is the IP number by which other VMs reach this one. */
+/** Checks the current content of the files. `address` is the IP number at which other VMs reach this VM. */
 export function checkTlsFiles(files: TlsFiles, address: string, now: Date): Result<void, Failure<PeerCredentialsFailureKind>> {
 	const authority = read(files.authorityFile, 'peers.tls.authorityFile')
 		.andThen(text => parseCertificate(text, 'peers.tls.authorityFile'))
@@ -99,13 +99,13 @@
 	}
 
 	return own.checkIP(address) === undefined
-		? err(failure('certificate-wrong-address', `The certificate is not for the address ${address}.`, {field}))
+		? err(failure('certificate-wrong-address', `The certificate is not valid for the address ${address}.`, {field}))
 		: ok(undefined);
 }
 
 /**
- * Credentials that follow the files: a renewed certificate is in use for new connections within seconds.
- * @param address IP number by which other VMs reach this one
+ * Returns credentials that are reloaded from the files: new connections use a renewed certificate within seconds.
+ * @param address IP number at which other VMs reach this VM
  */
 export function watchTlsFiles(files: TlsFiles, address: string, refreshEvery = refreshMilliseconds): PeerCredentials {
 	const provider = new experimental.FileWatcherCertificateProvider({
@@ -124,7 +124,7 @@
 	};
 }
 
-/** No TLS: only where the settings say so. */
+/** Returns credentials without TLS, for `peers.plain = true`. */
 export function plainCredentials(): PeerCredentials {
 	return {
 		server: Credentials.createInsecure(),
@@ -137,11 +137,11 @@
 const transportSigns: ReadonlyArray<readonly [RegExp, PeerCredentialsFailureKind, string]> = [
 	[/certificate has expired/v, 'certificate-expired', 'Its certificate has expired.'],
 	[/certificate is not yet valid/v, 'certificate-not-yet-valid', 'Its certificate is not yet valid.'],
-	[/self.signed|unable to (?:get local issuer|verify)|unknown ca|signature failure/iv, 'certificate-untrusted', 'Its certificate is not signed by this VM\'s authority, or the other way round.'],
-	[/altnames|does not match certificate/iv, 'certificate-wrong-address', 'Its certificate is not for the address by which it is reached.'],
+	[/self.signed|unable to (?:get local issuer|verify)|unknown ca|signature failure/iv, 'certificate-untrusted', 'Its certificate is not signed by this VM\'s authority, or this VM\'s certificate is not signed by its authority.'],
+	[/altnames|does not match certificate/iv, 'certificate-wrong-address', 'Its certificate is not valid for the address at which it is reached.'],
 ];
 
-/** What is wrong with the certificates, if an error of the transport tells of that. */
+/** Returns the certificate failure that an error of the transport describes; undefined for other errors. */
 export function certificateFailure(details: string): Failure<PeerCredentialsFailureKind> | undefined {
 	const sign = transportSigns.find(([pattern]) => pattern.test(details));
 	return sign && failure(sign[1], sign[2]);
--- a/src/node/peers/quarantine-exchange.test.ts
+++ b/src/node/peers/quarantine-exchange.test.ts
@@ -6,10 +6,10 @@
 
 describe('QuarantineExchange', () => {
 	/*
-	 * A mended service stays closed to one club. Order: an operator lifts the quarantine through one VM, the club's calls come
-	 * through another and are refused for ten minutes more. Cause: the word stayed on the VM that was asked.
+	 * Guards against a quarantine that is lifted only on the VM that received the operator's request. The other VMs would
+	 * refuse the organisation's calls for ten more minutes, although the service has been repaired.
 	 */
-	it('lifts on all VMs, and names those that could not be told', async () => {
+	it('lifts a quarantine on all VMs, and returns those that could not be reached', async () => {
 		const store = new DisposableStore();
 		const make = () => {
 			const transport = store.add(new GrpcPeerTransport('127.0.0.1:0', plainCredentials(), () => 0));
--- a/src/node/peers/quarantine-exchange.ts
+++ b/src/node/peers/quarantine-exchange.ts
@@ -1,4 +1,4 @@
-/** Tells all VMs that an operator lets a quarantined call run again. */
+/** Lifts the quarantine of a call on all VMs on behalf of an operator. */
 import {type sendUnaryData, type ServerUnaryCall, status} from '@grpc/grpc-js';
 import {z} from 'zod';
 import {type PeerAddress} from '../../common/fleet/types.ts';
@@ -9,13 +9,13 @@
 
 const liftSchema = z.object({fingerprint: z.string().min(1).max(128)});
 
-/** One VM's side of the exchange. */
+/** Sends and receives requests to lift a quarantine. */
 export class QuarantineExchange extends Disposable {
 	private readonly _transport: GrpcPeerTransport;
 	private readonly _service: UntypedService = loadService('quarantine.proto', 'jaydale.quarantine.v1.Quarantine');
 	private readonly _onLifted = this._register(new Emitter<string>());
 
-	/** An operator has let the call with this fingerprint run again, here or through another VM. */
+	/** Fires with the fingerprint of a call whose quarantine an operator has lifted, through this VM or another. */
 	readonly onLifted = this._onLifted.event;
 
 	constructor(transport: GrpcPeerTransport) {
@@ -28,7 +28,7 @@
 		});
 	}
 
-	/** Lifts here and on the other VMs; answers with those that could not be told: there it ends by itself. */
+	/** Lifts the quarantine on this VM and the given peers. Resolves with the peers that could not be reached, where the quarantine lasts until it expires. */
 	async lift(fingerprint: string, peers: readonly PeerAddress[]): Promise<readonly PeerAddress[]> {
 		this._onLifted.fire(fingerprint);
 		const told = await Promise.all(peers.map(async address => ({address, answer: await this._transport.ask(address, this._service.Lift!, {fingerprint})})));
@@ -38,7 +38,7 @@
 	private _take(request: object, answer: sendUnaryData<object>): void {
 		const lift = liftSchema.safeParse(request);
 		if (!lift.success) {
-			answer({code: status.INVALID_ARGUMENT, details: 'The fingerprint is not of the agreed form.'});
+			answer({code: status.INVALID_ARGUMENT, details: 'The fingerprint is missing or has an invalid length.'});
 			return;
 		}
 
--- a/src/node/platform/http-platform-client.test.ts
+++ b/src/node/platform/http-platform-client.test.ts
@@ -32,7 +32,7 @@
 const read = {type: 'get', key: 'a'} as const;
 
 describe('platform client', () => {
-	it('carries each operation out against the stand-in', async function () {
+	it('executes each operation against the stand-in', async function () {
 		const standIn = new PlatformStandIn(0, '127.0.0.1');
 		const started = await standIn.start();
 		const port = started.unwrapOr(0);
@@ -61,9 +61,9 @@
 		expect(replies).toMatchSnapshot(this);
 	});
 
-	// The service takes a write and its answer is lost, or comes broken, or too late. Taken for a refusal, an
-	// operator would be told that a change was not made that is in force.
-	it('tells a lost answer of a write from a request that never left', async function () {
+	// Guards against treating a lost, truncated or late answer to a write as a refusal: operators would see a change as
+	// refused that is in force.
+	it('distinguishes a lost answer to a write from a request that was never sent', async function () {
 		const outcomes: Record<string, unknown> = {};
 		const answers: Record<string, (request: IncomingMessage, response: ServerResponse) => void> = {
 			cut(request) {
--- a/src/node/platform/http-platform-client.ts
+++ b/src/node/platform/http-platform-client.ts
@@ -1,4 +1,4 @@
-/** The platform's service over HTTP: `POST /kv` with an operation, `GET /vms` for the list of VMs. */
+/** HTTP client of the platform's service: `POST /kv` executes an operation, `GET /vms` returns the list of VMs. */
 import {Agent} from 'undici';
 import {z} from 'zod';
 import {Disposable, toDisposable} from '../../common/lifecycle/disposable.ts';
@@ -6,12 +6,12 @@
 import {type ListedVm, type StoreOperation, type StoreReply} from '../../common/platform/types.ts';
 import {type PlatformClient} from '../fleet/types.ts';
 
-/** Time beyond a watch's own in which its answer may come. */
+/** Time added to the duration of a watch for its answer to arrive. */
 const watchGraceMilliseconds = 2000;
 
 const connectMilliseconds = 1000;
 
-/** Watches hold a connection each while they wait; the rest is for everything else at once. */
+/** Maximum number of connections. Each watch occupies one while it waits; the others serve concurrent requests. */
 const connections = 32;
 
 const entrySchema = z.object({key: z.string(), value: z.string(), revision: z.int()});
@@ -32,14 +32,14 @@
 
 const errorCodeSchema = z.object({code: z.string()});
 
-/** Codes that prove that no connection came about, so that no byte of the request left. */
+/** Error codes which prove that no connection was established, so that no byte of the request was sent. */
 const unsentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'EADDRNOTAVAIL', 'UND_ERR_CONNECT_TIMEOUT']);
 
 function isRead(operation: StoreOperation): boolean {
 	return operation.type === 'get' || operation.type === 'list' || operation.type === 'watch';
 }
 
-/** JSON has no `undefined`: an absent entry is a member left out. */
+/** Sets an absent `entry` to undefined, which JSON cannot represent. */
 function toReply(parsed: z.infer<typeof replySchema>): StoreReply {
 	if (parsed.type === 'entry') {
 		return {type: 'entry', entry: parsed.entry, revision: parsed.revision};
@@ -52,12 +52,12 @@
 	private readonly _agent: Agent;
 
 	/**
-	 * @param _base where the service is reached, such as `http://127.0.0.1:7000`
-	 * @param _timeout milliseconds after which an answer counts as lost; a watch gets its own time besides
+	 * @param _base URL of the service, such as `http://127.0.0.1:7000`
+	 * @param _timeout milliseconds after which an answer counts as lost; for a watch its duration is added
 	 */
 	constructor(private readonly _base: string, private readonly _timeout: Milliseconds) {
 		super();
-		// No pipelining: a lost answer must be the answer of one operation only.
+		// No pipelining, so that a broken connection loses the answer of one operation only.
 		this._agent = new Agent({pipelining: 1, connections, connect: {timeout: connectMilliseconds}});
 		this._register(toDisposable(() => {
 			void this._agent.destroy();
@@ -101,7 +101,7 @@
 		}
 	}
 
-	/** The request left and its answer did not come whole: a write may have taken effect, a read had none to take. */
+	/** Returns the reply for a request that was sent but whose answer is missing or incomplete. A write may have taken effect; a read has no effect. */
 	private _lost(operation: StoreOperation): StoreReply {
 		return isRead(operation) ? {type: 'unavailable'} : {type: 'unknown'};
 	}
--- a/src/node/settings/load-entry-settings.ts
+++ b/src/node/settings/load-entry-settings.ts
@@ -1,4 +1,4 @@
-/** Reads the settings of a store-led entry VM from a TOML file; tells every fault at once. */
+/** Reads the settings of an entry VM in a fleet that is coordinated through the store from a TOML file; returns all errors at once. */
 import {type Result} from 'neverthrow';
 import {type EntrySettings, entrySettingsSchema} from '../../common/settings/entry-settings.ts';
 import {checkAgainst, readToml, type SettingsFailure} from './load-settings.ts';
--- a/src/node/settings/load-settings.test.ts
+++ b/src/node/settings/load-settings.test.ts
@@ -46,15 +46,15 @@
 		return loadSettings(path).match(() => [], failures => failures.map(value => describeFailure(value).replaceAll(folder, 'FOLDER')));
 	}
 
-	it('fills in every default', function () {
+	it('fills in all defaults', function () {
 		const path = join(folder, 'vm.toml');
 		writeFileSync(path, shortest);
 		const settings = loadSettings(path)._unsafeUnwrap();
 		expect(JSON.stringify(settings, undefined, '\t').replaceAll(folder, 'FOLDER')).toMatchSnapshot(this);
 	});
 
-	// Guards operators against faults of a settings file that are told one at a time.
-	it('tells every fault at once, with place, finding and what is allowed', function () {
+	// Fails if errors in a settings file are reported one at a time.
+	it('reports all errors at once, with field, value found and allowed values', function () {
 		expect(faults(`
 [vm]
 name = "VM 1"
@@ -80,8 +80,8 @@
 `)).toMatchSnapshot(this);
 	});
 
-	// Guards the check of settings against throwing where a table is left out.
-	it('tells faults of any input whatever and never throws', () => {
+	// Fails if the check of settings throws where a table is missing.
+	it('reports errors for arbitrary input and never throws', () => {
 		const table = fastCheck.oneof(fastCheck.jsonValue(), fastCheck.dictionary(fastCheck.constantFrom('port', 'plain', 'tls', 'address', 'seeds', 'url', 'level'), fastCheck.jsonValue()));
 		const input = fastCheck.oneof(fastCheck.jsonValue(), fastCheck.dictionary(fastCheck.constantFrom('vm', 'peers', 'platform', 'log', 'limits', 'x'), table));
 		fastCheck.assert(fastCheck.property(input, value => {
@@ -91,17 +91,17 @@
 		}), {seed: 20_261_202, numRuns: 2000});
 	});
 
-	it('names line and column of a fault in syntax', function () {
+	it('reports line and column of a syntax error', function () {
 		expect(faults('[vm]\nname = "vm-1\n')).toMatchSnapshot(this);
 	});
 
-	it('finds lacking files before the daemon starts', function () {
+	it('reports missing files before the daemon starts', function () {
 		const text = shortest.replace('plain = true', '[peers.tls]\ncertificateFile = "a.pem"\nkeyFile = "tokens.toml"\nauthorityFile = "c.pem"')
 			.replace('"tokens.toml"', '"none.toml"');
 		expect(faults(text)).toMatchSnapshot(this);
 	});
 
-	// Guards secrets of a settings file against the messages of its check.
+	// Fails if an error message contains a secret of the settings file.
 	it('never shows a token', function () {
 		const path = join(folder, 'tokens.toml');
 		writeFileSync(path, `${validTokens}${validTokens}[[operator]]\nname = "x"\nrole = "admin"\ntoken = "hunter2"\n`);
--- a/src/node/settings/load-settings.ts
+++ b/src/node/settings/load-settings.ts
@@ -1,4 +1,4 @@
-/** Reads settings and tokens from TOML files; tells every fault at once. */
+/** Reads settings and tokens from TOML files; returns all errors at once. */
 import {accessSync, constants, readFileSync} from 'node:fs';
 import {dirname, resolve} from 'node:path';
 import {err, ok, type Result} from 'neverthrow';
@@ -10,11 +10,11 @@
 	settingsSchema, tokensFileSchema, type OperatorToken, type Settings,
 } from '../../common/settings/settings.ts';
 
-/** What can be wrong with a file of settings. */
+/** Kinds of errors in a settings file. */
 export type SettingsFailureKind = InputFailureKind | 'unreadable-file' | 'invalid-toml' | 'repeated';
 export type SettingsFailure = Failure<SettingsFailureKind>;
 
-/** Reads a daemon's settings. Paths in the answer are absolute; the files they name were readable. */
+/** Reads a daemon's settings. Paths in the result are absolute, and the files are readable. */
 export function loadSettings(path: string): Result<Settings, SettingsFailure[]> {
 	return readToml(path)
 		.andThen(input => checkAgainst(settingsSchema, input))
@@ -22,7 +22,7 @@
 		.andThen(settings => checkFiles(settings));
 }
 
-/** Reads the operators' tokens. No two may have the same name or secret. */
+/** Reads the operators' tokens. Names and secrets must be unique. */
 export function loadTokens(path: string): Result<OperatorToken[], SettingsFailure[]> {
 	return readToml(path)
 		.andThen(input => checkAgainst(tokensFileSchema, input))
@@ -30,12 +30,12 @@
 		.andThen(tokens => checkUnique(tokens));
 }
 
-/** Reads a TOML file; a fault of syntax names line and column. */
+/** Reads a TOML file; a syntax error names line and column. */
 export function readToml(path: string): Result<unknown, SettingsFailure[]> {
 	return readText(path).andThen(text => parseToml(text));
 }
 
-/** Parses TOML text; a fault names line and column. */
+/** Parses TOML text; a syntax error names line and column. */
 export function parseToml(text: string): Result<unknown, SettingsFailure[]> {
 	try {
 		return ok(parse(text));
@@ -57,7 +57,7 @@
 	}
 }
 
-/** Checks input against a schema; every fault names its field. */
+/** Validates an input against a schema; every error names its field. */
 export function checkAgainst<Schema extends z.ZodType>(schema: Schema, input: unknown): Result<z.infer<Schema>, SettingsFailure[]> {
 	const parsed = schema.safeParse(input);
 	return parsed.success ? ok(parsed.data) : err(inputFailures(parsed.error, input, schema));
@@ -79,7 +79,7 @@
 	};
 }
 
-/** A daemon that starts and fails at its first connection for a lacking file tells its operator too late. */
+/** Checks that all files are readable, so that a missing one is reported at the start and not at the first connection. */
 function checkFiles(settings: Settings): Result<Settings, SettingsFailure[]> {
 	const files = Object.entries(settings.peers.tls ?? {});
 	const failures = files.flatMap(([key, path]) => unreadableFile(`peers.tls.${key}`, path));
