--- a/src/common/burn/burn-copies.ts
+++ b/src/common/burn/burn-copies.ts
@@ -8,7 +8,7 @@
  * Maximum number of copies on one VM. Every process sends its counts to two other VMs, and copies of ended processes
  * matter for the longest window: 64 hold four generations of 16 VMs. In a larger fleet the oldest copies are evicted.
  */
-const mostCopies = 64;
+const maxCopies = 64;
 
 /** Stores the newest copy of each process's counts. */
 export class BurnCopies {
@@ -22,9 +22,9 @@
 		}
 
 		// The measuring calls belong to the current measuring window only; in a copy they would be counted long after that window.
-		const services = counts.services.map(account => ({...account, measuringSpent: 0}));
+		const services = counts.services.map(service => ({...service, measuringSpent: 0}));
 		this._copies.set(counts.identity, {counts: {...counts, services}, receivedAt: now});
-		if (this._copies.size > mostCopies) {
+		if (this._copies.size > maxCopies) {
 			this._dropOldest(now);
 		}
 	}
--- a/src/common/burn/burn-ledger.ts
+++ b/src/common/burn/burn-ledger.ts
@@ -4,7 +4,7 @@
 import {burnWindows} from './burn-windows.ts';
 import {type ServiceBuckets} from './types.ts';
 
-type Account = {
+type ServiceCounters = {
 	readonly rings: readonly BucketRing[];
 	/** Instant of the service's first counted call. */
 	readonly since: Instant;
@@ -12,11 +12,11 @@
 
 /** Counts the good and bad calls of each service. In memory only, as the VM has no disk. */
 export class BurnLedger {
-	private readonly _accounts = new Map<string, Account>();
+	private readonly _counters = new Map<string, ServiceCounters>();
 
 	/** Counts an ended call. `isGood` as in the call engine's summary: complete answer, no server error, within the objective's latency. */
 	count(service: string, isGood: boolean, now: Instant): void {
-		for (const ring of this._accountOf(service, now).rings) {
+		for (const ring of this._countersOf(service, now).rings) {
 			ring.add(isGood, now);
 		}
 	}
@@ -27,12 +27,12 @@
 	 */
 	buckets(now: Instant, measuringSpent: ReadonlyMap<string, number> = new Map()): ServiceBuckets[] {
 		// Measuring calls start before a service's first call, and the report includes them.
-		return [...new Set([...this._accounts.keys(), ...measuringSpent.keys()])].map(service => {
-			const account = this._accounts.get(service);
+		return [...new Set([...this._counters.keys(), ...measuringSpent.keys()])].map(service => {
+			const counters = this._counters.get(service);
 			return {
 				service,
-				coveredMilliseconds: account === undefined ? 0 : now - account.since,
-				windows: burnWindows.map((window, index) => ({window: window.name, buckets: account?.rings[index]!.buckets(now) ?? []})),
+				coveredMilliseconds: counters === undefined ? 0 : now - counters.since,
+				windows: burnWindows.map((window, index) => ({window: window.name, buckets: counters?.rings[index]!.buckets(now) ?? []})),
 				measuringSpent: measuringSpent.get(service) ?? 0,
 			};
 		});
@@ -40,21 +40,21 @@
 
 	/** Removes the counts of services that are no longer declared, which bounds memory by the configuration. */
 	retain(services: ReadonlySet<string>): void {
-		for (const service of this._accounts.keys()) {
+		for (const service of this._counters.keys()) {
 			if (!services.has(service)) {
-				this._accounts.delete(service);
+				this._counters.delete(service);
 			}
 		}
 	}
 
-	private _accountOf(service: string, now: Instant): Account {
-		const known = this._accounts.get(service);
+	private _countersOf(service: string, now: Instant): ServiceCounters {
+		const known = this._counters.get(service);
 		if (known !== undefined) {
 			return known;
 		}
 
-		const account = {rings: burnWindows.map(window => new BucketRing(window)), since: now};
-		this._accounts.set(service, account);
-		return account;
+		const counters = {rings: burnWindows.map(window => new BucketRing(window)), since: now};
+		this._counters.set(service, counters);
+		return counters;
 	}
 }
--- a/src/common/burn/burn-report.ts
+++ b/src/common/burn/burn-report.ts
@@ -15,7 +15,7 @@
 const longestWindow = burnWindows.at(-1)!;
 
 /** One day. Histories shorter than this are assessed by the shorter windows alone. */
-const leastKnownMilliseconds = 86_400_000;
+const minCoveredMilliseconds = 86_400_000;
 
 /** Input of the burn report. */
 export type BurnInput = {
@@ -68,14 +68,14 @@
 		budgetLeft: budgetLeft(longestWindow, windows.at(-1)),
 		verdict: verdictOf(windows),
 		measuring: {
-			spent: sum(processes.flatMap(counts => accountsOf(counts, service.name).map(account => account.measuringSpent))),
+			spent: sum(processes.flatMap(counts => bucketsOf(counts, service.name).map(serviceBuckets => serviceBuckets.measuringSpent))),
 			allowed: service.measuring.callsPerWindow * servers,
 		},
 	};
 }
 
 function windowBurn(window: BurnWindow, service: Service, processes: readonly ProcessCounts[]): WindowBurn {
-	const parts = processes.flatMap(counts => accountsOf(counts, service.name).map(account => countsIn(window, account, counts.ageMilliseconds)));
+	const parts = processes.flatMap(counts => bucketsOf(counts, service.name).map(serviceBuckets => countsIn(window, serviceBuckets, counts.ageMilliseconds)));
 	const counts: WindowCounts = {
 		window: window.name,
 		good: sum(parts.map(part => part.good)),
@@ -85,19 +85,19 @@
 	return {...counts, burnRate: burnRate(counts, service.objective.successShare)};
 }
 
-function accountsOf(counts: ProcessCounts, service: string): ServiceBuckets[] {
-	return counts.services.filter(account => account.service === service);
+function bucketsOf(counts: ProcessCounts, service: string): ServiceBuckets[] {
+	return counts.services.filter(serviceBuckets => serviceBuckets.service === service);
 }
 
 /** Sums the buckets that are still inside the window, after adding the time since the process exported its counts. */
-function countsIn(window: BurnWindow, account: ServiceBuckets, ageMilliseconds: number): WindowCounts {
-	const buckets = account.windows.find(item => item.window === window.name)?.buckets ?? [];
+function countsIn(window: BurnWindow, serviceBuckets: ServiceBuckets, ageMilliseconds: number): WindowCounts {
+	const buckets = serviceBuckets.windows.find(item => item.window === window.name)?.buckets ?? [];
 	const inside = buckets.filter(([age]) => (age * window.bucketMilliseconds) + ageMilliseconds <= window.milliseconds);
 	return {
 		window: window.name,
 		good: sum(inside.map(bucket => bucket[1])),
 		bad: sum(inside.map(bucket => bucket[2])),
-		coveredMilliseconds: Math.min(window.milliseconds, account.coveredMilliseconds + ageMilliseconds),
+		coveredMilliseconds: Math.min(window.milliseconds, serviceBuckets.coveredMilliseconds + ageMilliseconds),
 	};
 }
 
@@ -132,12 +132,12 @@
 		return 'fast-burn';
 	}
 
-	return isBurning(windows, ['1h', '6h'], slowBurnRate) || isOverspending(windows.at(-1)!) ? 'slow-burn' : 'within-objective';
+	return isBurning(windows, ['1h', '6h'], slowBurnRate) || exceedsBudget(windows.at(-1)!) ? 'slow-burn' : 'within-objective';
 }
 
 /** True if the burn rate of the longest window exceeds 1 and at least a day of it is covered: a few bad calls after a start say little about a month. */
-function isOverspending(longest: WindowBurn): boolean {
-	return longest.coveredMilliseconds >= leastKnownMilliseconds && isBurning([longest], [longest.window], 1);
+function exceedsBudget(longest: WindowBurn): boolean {
+	return longest.coveredMilliseconds >= minCoveredMilliseconds && isBurning([longest], [longest.window], 1);
 }
 
 /** Where the objective allows no bad call, the rate is null and any bad call counts as burning. */
--- a/src/common/burn/burn.test.ts
+++ b/src/common/burn/burn.test.ts
@@ -17,7 +17,7 @@
 	kind: 'backend-server', name: 'ordering-1', service: 'ordering', address: '10.0.0.1', port: 9000, dataCentre: 'gdansk-1',
 });
 
-function told(identity: string, ledger: BurnLedger, now: number, ageMilliseconds = 0): ProcessCounts {
+function processCounts(identity: string, ledger: BurnLedger, now: number, ageMilliseconds = 0): ProcessCounts {
 	return {
 		identity, vm: identity, ageMilliseconds, services: ledger.buckets(now, new Map([['ordering', 7]])),
 	};
@@ -52,7 +52,7 @@
 				ledger.count('ordering', isGood, now);
 			}
 
-			const [line] = reportOf({told: [told('a', ledger, now)]}).services;
+			const [line] = reportOf({told: [processCounts('a', ledger, now)]}).services;
 			for (const [index, window] of burnWindows.entries()) {
 				const {good, bad} = line!.windows[index]!;
 				const within = (span: number) => times.filter(time => now - time < span).length;
@@ -91,7 +91,7 @@
 		const lines = histories.map(([name, fillLedger]) => {
 			const ledger = new BurnLedger();
 			fillLedger(ledger);
-			const [line] = reportOf({told: [told('a', ledger, day)]}).services;
+			const [line] = reportOf({told: [processCounts('a', ledger, day)]}).services;
 			return [name, line!.verdict, line!.windows.map(window => window.burnRate?.toFixed(2) ?? null).join(' '), line!.budgetLeft?.toFixed(2)].join(' | ');
 		});
 		expect(lines).toMatchSnapshot(this);
@@ -101,9 +101,9 @@
 		const strict: Service = {...ordering, objective: {successShare: 1, latencyMilliseconds: 250}};
 		const ledger = new BurnLedger();
 		ledger.count('ordering', true, 0);
-		expect(reportOf({services: [strict], told: [told('a', ledger, 1)]}).services[0]!.verdict).toEqual('within-objective');
+		expect(reportOf({services: [strict], told: [processCounts('a', ledger, 1)]}).services[0]!.verdict).toEqual('within-objective');
 		ledger.count('ordering', false, 1);
-		const [line] = reportOf({services: [strict], told: [told('a', ledger, 2)]}).services;
+		const [line] = reportOf({services: [strict], told: [processCounts('a', ledger, 2)]}).services;
 		expect([line!.verdict, line!.budgetLeft, line!.windows[0]!.burnRate]).toEqual(['fast-burn', null, null]);
 	});
 
@@ -113,16 +113,16 @@
 		fill(living, 0, hour, 100);
 		const ended = new BurnLedger();
 		fill(ended, 0, hour / 2, 100);
-		const early = told('ended', ended, hour / 2, hour / 2);
+		const early = processCounts('ended', ended, hour / 2, hour / 2);
 		fill(ended, hour / 2, hour, 100);
-		const late = told('ended', ended, hour, minute);
-		const copies = [early, late, told('living', living, hour, minute)];
+		const late = processCounts('ended', ended, hour, minute);
+		const copies = [early, late, processCounts('living', living, hour, minute)];
 		const report = reportOf({
-			told: [told('living', living, hour)], copies, vmsCounted: ['10.0.0.1:7001'], vmsMissing: ['10.0.0.2:7001'],
+			told: [processCounts('living', living, hour)], copies, vmsCounted: ['10.0.0.1:7001'], vmsMissing: ['10.0.0.2:7001'],
 		});
 		expect(report).toMatchSnapshot(this);
 		const reversed = reportOf({
-			told: [told('living', living, hour)], copies: copies.toReversed(), vmsCounted: ['10.0.0.1:7001'], vmsMissing: ['10.0.0.2:7001'],
+			told: [processCounts('living', living, hour)], copies: copies.toReversed(), vmsCounted: ['10.0.0.1:7001'], vmsMissing: ['10.0.0.2:7001'],
 		});
 		expect(reversed).toEqual(report);
 	});
@@ -132,7 +132,7 @@
 		const ledger = new BurnLedger();
 		fill(ledger, 0, minute, 2);
 		const copies = new BurnCopies();
-		copies.keep(told('ended', ledger, minute), 1000);
+		copies.keep(processCounts('ended', ledger, minute), 1000);
 		expect(reportOf({copies: copies.all(1000)}).services[0]!.measuring).toEqual({spent: 0, allowed: 480});
 		const badIn = (now: number) => reportOf({copies: copies.all(now)}).services[0]!.windows.map(window => window.bad);
 		expect(badIn(1000)).toEqual([5000, 5000, 5000, 5000]);
@@ -144,13 +144,13 @@
 	it('stores the newest copy of each process and evicts the oldest process beyond the limit', () => {
 		const copies = new BurnCopies();
 		const ledger = new BurnLedger();
-		copies.keep(told('a', ledger, 0, 500), 0);
-		copies.keep(told('a', ledger, 0, 2000), 1000);
+		copies.keep(processCounts('a', ledger, 0, 500), 0);
+		copies.keep(processCounts('a', ledger, 0, 2000), 1000);
 		expect(copies.all(1000).map(copy => copy.ageMilliseconds)).toEqual([1500]);
-		copies.keep(told('a', ledger, 0, 0), 1000);
+		copies.keep(processCounts('a', ledger, 0, 0), 1000);
 		expect(copies.all(1000).map(copy => copy.ageMilliseconds)).toEqual([0]);
 		for (let index = 0; index < 64; index++) {
-			copies.keep(told(`b${index}`, ledger, 0), 2000 + index);
+			copies.keep(processCounts(`b${index}`, ledger, 0), 2000 + index);
 		}
 
 		expect(copies.all(3000).map(copy => copy.identity).includes('a')).toEqual(false);
@@ -158,7 +158,7 @@
 	});
 
 	it('reports measuring calls of a service without calls', () => {
-		const [line] = reportOf({told: [told('a', new BurnLedger(), 0)]}).services;
+		const [line] = reportOf({told: [processCounts('a', new BurnLedger(), 0)]}).services;
 		expect([line!.verdict, line!.measuring]).toEqual(['no-calls', {spent: 7, allowed: 480}]);
 	});
 
--- a/src/common/burn/types.ts
+++ b/src/common/burn/types.ts
@@ -22,16 +22,16 @@
 export type Bucket = z.infer<typeof bucketSchema>;
 
 /** Limit on the buckets of one window in a message. */
-const mostBuckets = 512;
+const maxBuckets = 512;
 /** Limit on the services in a message; the largest supported installation has this many. */
-const mostServices = 2000;
+const maxServices = 2000;
 
 /** Counts of one process for one service, by bucket, so that a receiver can drop buckets as they leave the window. */
 export const serviceBucketsSchema = z.strictObject({
 	service: nameSchema,
 	/** Time for which the process has counted calls of the service. */
 	coveredMilliseconds: z.number().min(0),
-	windows: z.array(z.strictObject({window: burnWindowNameSchema, buckets: z.array(bucketSchema).max(mostBuckets)})).max(burnWindowNames.length),
+	windows: z.array(z.strictObject({window: burnWindowNameSchema, buckets: z.array(bucketSchema).max(maxBuckets)})).max(burnWindowNames.length),
 	/** Measuring calls in the current measuring window; 0 once the process has ended. */
 	measuringSpent: z.number().min(0),
 });
@@ -44,7 +44,7 @@
 	vm: nameSchema,
 	/** Milliseconds from when the process exported the counts until this message was sent. */
 	ageMilliseconds: z.number().min(0),
-	services: z.array(serviceBucketsSchema).max(mostServices),
+	services: z.array(serviceBucketsSchema).max(maxServices),
 });
 export type ProcessCounts = z.infer<typeof processCountsSchema>;
 
--- a/src/common/entry-vm/entry-vm.test.ts
+++ b/src/common/entry-vm/entry-vm.test.ts
@@ -19,7 +19,7 @@
 
 /** An entry VM whose store replies at once; records all events that the VM handles and all its effects. */
 class RecordedVm {
-	readonly told: Recorded[] = [];
+	readonly recorded: Recorded[] = [];
 	readonly effects: EntryVmEffect[] = [];
 	private readonly _store = new FakeStore();
 	private readonly _vm: EntryVm;
@@ -30,13 +30,13 @@
 		this._vm = new EntryVm(new DefaultCallEngine({random, settings: {dataCentre: 'north'}}), new FleetCoordinator(settings, random, testHash));
 	}
 
-	tell(event: EntryVmEvent): void {
-		this.told.push({event, at: this._now});
+	handle(event: EntryVmEvent): void {
+		this.recorded.push({event, at: this._now});
 		const effects = this._vm.handle(event, this._now);
 		this.effects.push(...effects);
 		for (const effect of effects) {
 			if (effect.type === 'store' && effect.operation.type !== 'watch') {
-				this.tell({type: 'store-replied', requestId: effect.requestId, reply: this._store.execute(effect.operation, this._now)});
+				this.handle({type: 'store-replied', requestId: effect.requestId, reply: this._store.execute(effect.operation, this._now)});
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 		const end = this._now + milliseconds;
 		for (let at = this._vm.nextWakeUp(); at !== undefined && at <= end; at = this._vm.nextWakeUp()) {
 			this._now = Math.max(this._now, at);
-			this.tell({type: 'tick'});
+			this.handle({type: 'tick'});
 		}
 
 		this._now = end;
@@ -65,7 +65,7 @@
 			kind: 'backend-server', name: `spans-${number}`, service: 'spans', address: '10.0.0.1', port: 7000 + number, dataCentre: 'north',
 		})),
 	];
-	vm.tell({
+	vm.handle({
 		type: 'operator-change',
 		requestId: 1,
 		change: {
@@ -78,7 +78,7 @@
 }
 
 function call(vm: RecordedVm, callId: number): void {
-	vm.tell({
+	vm.handle({
 		type: 'call-arrived',
 		request: {
 			callId, service: 'spans', caller: 'portal', method: 'GET', fingerprint: `f${callId}`, timeoutMilliseconds: 1000, bodyBytes: 0,
@@ -93,7 +93,7 @@
 
 function started(seed: number): RecordedVm {
 	const vm = new RecordedVm(seed);
-	vm.tell({type: 'started'});
+	vm.handle({type: 'started'});
 	declare(vm);
 	vm.run(10);
 	return vm;
@@ -113,7 +113,7 @@
 
 		first.run(3000);
 		const second = new RecordedVm(20_261_202);
-		second.replay(first.told);
+		second.replay(first.recorded);
 		expect(second.effects).toEqual(first.effects);
 		expect(portsOfAttempts(first).length).toBeGreaterThanOrEqual(12);
 	});
@@ -129,11 +129,11 @@
 		const report = {
 			inFlight: 1, queued: 0, slots: 6, instance: 'process-1', isLeaving: true,
 		};
-		vm.tell({type: 'attempt-sent', attemptId: 1});
-		vm.tell({
+		vm.handle({type: 'attempt-sent', attemptId: 1});
+		vm.handle({
 			type: 'attempt-head', attemptId: 1, status: 200, report, isDeclaredNotRun: false, isReplayable: true, validator: undefined,
 		});
-		vm.tell({type: 'attempt-done', attemptId: 1});
+		vm.handle({type: 'attempt-done', attemptId: 1});
 		for (let callId = 2; callId <= 40; callId += 1) {
 			call(vm, callId);
 			vm.run(5);
--- a/src/common/entry-vm/entry-vm.ts
+++ b/src/common/entry-vm/entry-vm.ts
@@ -5,11 +5,11 @@
 import {type FleetEffect, type FleetEngine, type FleetEvent} from '../fleet/types.ts';
 import {type Instant} from '../model/units.ts';
 import {
-	type Decider, type EntryVmEffect, type EntryVmEvent, type OuterCallEffect, type OuterFleetEvent,
+	type Decider, type EntryVmEffect, type EntryVmEvent, type OuterCallEffect, type ExternalFleetEvent,
 } from './types.ts';
 
 /** A record rather than a set, so that a missing event type fails to compile: the event would go to the call engine, which does not handle it. */
-const fleetEventTypes: Readonly<Record<OuterFleetEvent['type'], true>> = {
+const fleetEventTypes: Readonly<Record<ExternalFleetEvent['type'], true>> = {
 	started: true,
 	'store-replied': true,
 	'peer-message': true,
@@ -28,7 +28,7 @@
 	woke: true,
 };
 
-function isFleetEvent(event: EntryVmEvent): event is OuterFleetEvent {
+function isFleetEvent(event: EntryVmEvent): event is ExternalFleetEvent {
 	return Object.hasOwn(fleetEventTypes, event.type);
 }
 
@@ -45,7 +45,7 @@
 export type FleetDecider = Pick<FleetEngine, 'handle' | 'nextWakeUp'>;
 
 /** An event from one engine that is queued for an engine. */
-type Inner = {readonly to: 'calls'; readonly event: CallEvent} | {readonly to: 'fleet'; readonly event: FleetEvent};
+type InternalEvent = {readonly to: 'calls'; readonly event: CallEvent} | {readonly to: 'fleet'; readonly event: FleetEvent};
 
 /**
  * Makes all decisions of one VM. Events between the engines are handled before the next event from outside, so that a list
@@ -54,7 +54,7 @@
 export class EntryVm<Fleet extends FleetDecider = FleetEngine> implements Decider<EntryVmEvent, EntryVmEffect> {
 	readonly calls: CallEngine;
 	readonly fleet: Fleet;
-	private readonly _inner: Inner[] = [];
+	private readonly _internalEvents: InternalEvent[] = [];
 	private _effects: EntryVmEffect[] = [];
 
 	constructor(calls: CallEngine, fleet: Fleet) {
@@ -65,11 +65,11 @@
 	handle(event: EntryVmEvent, now: Instant): readonly EntryVmEffect[] {
 		this._effects = [];
 		this._route(event, now);
-		for (let next = this._inner.shift(); next !== undefined; next = this._inner.shift()) {
+		for (let next = this._internalEvents.shift(); next !== undefined; next = this._internalEvents.shift()) {
 			if (next.to === 'calls') {
-				this._tellCalls(next.event, now);
+				this._sendToCallEngine(next.event, now);
 			} else {
-				this._tellFleet(next.event, now);
+				this._sendToFleetEngine(next.event, now);
 			}
 		}
 
@@ -90,81 +90,81 @@
 		if (event.type === 'tick') {
 			this._tick(now);
 		} else if (event.type === 'utilisation') {
-			this._tellFleet({type: 'own-load', utilisation: event.utilisation, services: this.calls.load().inFlightOfServices}, now);
+			this._sendToFleetEngine({type: 'own-load', utilisation: event.utilisation, services: this.calls.load().inFlightOfServices}, now);
 		} else if (isFleetEvent(event)) {
-			this._tellFleet(event, now);
+			this._sendToFleetEngine(event, now);
 		} else {
-			this._tellCalls(event, now);
+			this._sendToCallEngine(event, now);
 		}
 	}
 
 	/** Sends a tick only to engines whose wake-up is due. With many calls, a tick to the fleet engine would otherwise run every millisecond. */
 	private _tick(now: Instant): void {
 		if ((this.fleet.nextWakeUp() ?? Number.POSITIVE_INFINITY) <= now) {
-			this._tellFleet({type: 'tick'}, now);
+			this._sendToFleetEngine({type: 'tick'}, now);
 		}
 
 		if ((this.calls.nextWakeUp() ?? Number.POSITIVE_INFINITY) <= now) {
-			this._tellCalls({type: 'tick'}, now);
+			this._sendToCallEngine({type: 'tick'}, now);
 		}
 	}
 
-	private _tellCalls(event: CallEvent, now: Instant): void {
+	private _sendToCallEngine(event: CallEvent, now: Instant): void {
 		for (const effect of this.calls.handle(event, now)) {
-			this._takeCallEffect(effect);
+			this._handleCallEffect(effect);
 		}
 	}
 
-	private _takeCallEffect(effect: CallEffect): void {
+	private _handleCallEffect(effect: CallEffect): void {
 		if (effect.type === 'tell-peers') {
-			this._shareUpdate(effect.update);
+			this._forwardLoadUpdate(effect.update);
 		} else {
 			this._effects.push(effect);
 		}
 	}
 
 	/** Queues the leaving sign before the load update, because it must reach all VMs within 2 s. */
-	private _shareUpdate(update: LoadUpdate): void {
+	private _forwardLoadUpdate(update: LoadUpdate): void {
 		if (update.report?.isLeaving === true) {
-			this._inner.push({
+			this._internalEvents.push({
 				to: 'fleet',
 				event: {type: 'leaving-sign', sign: {identity: update.identity, instance: update.report.instance, source: 'answer'}},
 			});
 		} else if (update.report?.instance !== undefined) {
 			// Without this event the fleet engine would keep passing on the leaving sign of a replaced process and apply it to its successor.
-			this._inner.push({to: 'fleet', event: {type: 'returned', identity: update.identity, instance: update.report.instance}});
+			this._internalEvents.push({to: 'fleet', event: {type: 'returned', identity: update.identity, instance: update.report.instance}});
 		}
 
-		this._inner.push({to: 'fleet', event: {type: 'load-update', update}});
+		this._internalEvents.push({to: 'fleet', event: {type: 'load-update', update}});
 	}
 
-	private _tellFleet(event: FleetEvent, now: Instant): void {
+	private _sendToFleetEngine(event: FleetEvent, now: Instant): void {
 		for (const effect of this.fleet.handle(event, now)) {
-			this._takeFleetEffect(effect);
+			this._handleFleetEffect(effect);
 		}
 	}
 
-	private _takeFleetEffect(effect: FleetEffect): void {
+	private _handleFleetEffect(effect: FleetEffect): void {
 		switch (effect.type) {
 			case 'shares': {
-				this._inner.push({to: 'calls', event: {type: 'shares', shares: effect.shares}});
+				this._internalEvents.push({to: 'calls', event: {type: 'shares', shares: effect.shares}});
 				break;
 			}
 
 			case 'peer-updates': {
-				this._inner.push({to: 'calls', event: {type: 'peer-updates', updates: effect.updates}});
+				this._internalEvents.push({to: 'calls', event: {type: 'peer-updates', updates: effect.updates}});
 				break;
 			}
 
 			case 'backend-server-leaving': {
 				const {identity, instance} = effect.sign;
-				this._inner.push({to: 'calls', event: {type: 'backend-server-leaving', identity, instance}});
+				this._internalEvents.push({to: 'calls', event: {type: 'backend-server-leaving', identity, instance}});
 				break;
 			}
 
 			case 'stage': {
 				if (effect.stage === 'refusing' || effect.stage === 'ended') {
-					this._inner.push({to: 'calls', event: {type: 'process-ending', isOver: effect.stage === 'ended'}});
+					this._internalEvents.push({to: 'calls', event: {type: 'process-ending', isOver: effect.stage === 'ended'}});
 				}
 
 				this._effects.push(effect);
@@ -172,13 +172,13 @@
 			}
 
 			case 'configured': {
-				this._inner.push({to: 'calls', event: {type: 'configured', configuration: effect.configuration}});
+				this._internalEvents.push({to: 'calls', event: {type: 'configured', configuration: effect.configuration}});
 				this._effects.push(effect);
 				break;
 			}
 
 			case 'cut-off': {
-				this._inner.push({to: 'calls', event: {type: 'cut-off', isCutOff: effect.isCutOff}});
+				this._internalEvents.push({to: 'calls', event: {type: 'cut-off', isCutOff: effect.isCutOff}});
 				this._effects.push(effect);
 				break;
 			}
--- a/src/common/entry-vm/types.ts
+++ b/src/common/entry-vm/types.ts
@@ -7,20 +7,20 @@
 import {type Instant} from '../model/units.ts';
 
 /** Events and effects that the two engines exchange; none leaves the entry VM. */
-type InnerCallEvent = 'configured' | 'shares' | 'peer-updates' | 'backend-server-leaving' | 'cut-off' | 'placing-held' | 'tick';
-type InnerFleetEvent = 'load-update' | 'leaving-sign' | 'own-load' | 'tick';
-type InnerFleetEffect = 'shares' | 'peer-updates' | 'backend-server-leaving';
+type InternalCallEvent = 'configured' | 'shares' | 'peer-updates' | 'backend-server-leaving' | 'cut-off' | 'placing-held' | 'tick';
+type InternalFleetEvent = 'load-update' | 'leaving-sign' | 'own-load' | 'tick';
+type InternalFleetEffect = 'shares' | 'peer-updates' | 'backend-server-leaving';
 
 /** Events for the call engine from outside the entry VM. */
-export type OuterCallEvent = Exclude<CallEvent, {type: InnerCallEvent}>;
+export type OuterCallEvent = Exclude<CallEvent, {type: InternalCallEvent}>;
 
 /** Events for the fleet engine from outside the entry VM. */
-export type OuterFleetEvent = Exclude<FleetEvent, {type: InnerFleetEvent}>;
+export type ExternalFleetEvent = Exclude<FleetEvent, {type: InternalFleetEvent}>;
 
 /** Any event that an entry VM handles. */
 export type EntryVmEvent
 	= | OuterCallEvent
-		| OuterFleetEvent
+		| ExternalFleetEvent
 	/** Share of recent time (0 to 1) for which the VM was busy; sent about twice a second. */
 		| {readonly type: 'utilisation'; readonly utilisation: number}
 	/** The instant returned by `nextWakeUp` has been reached. */
@@ -30,7 +30,7 @@
 export type OuterCallEffect = Exclude<CallEffect, {type: 'tell-peers'}>;
 
 /** Effects of the fleet engine that the adapter executes. */
-export type OuterFleetEffect = Exclude<FleetEffect, {type: InnerFleetEffect}>;
+export type OuterFleetEffect = Exclude<FleetEffect, {type: InternalFleetEffect}>;
 
 /** Any effect that an entry VM returns. */
 export type EntryVmEffect = OuterCallEffect | OuterFleetEffect;
--- a/src/common/settings/schema-failures.ts
+++ b/src/common/settings/schema-failures.ts
@@ -17,7 +17,7 @@
 
 /** Keys whose values never appear in a message. */
 const secretKeys = new Set<PropertyKey>(['token']);
-const longestFound = 60;
+const maxShownCharacters = 60;
 
 /** Returns all errors that the schema found, in the order of the schema. */
 export function inputFailures(error: z.ZodError, input: unknown, schema: z.ZodType): InputFailure[] {
@@ -159,7 +159,7 @@
 }
 
 function shorten(text: string): string {
-	return text.length > longestFound ? `${text.slice(0, longestFound)}…` : text;
+	return text.length > maxShownCharacters ? `${text.slice(0, maxShownCharacters)}…` : text;
 }
 
 /** Returns the keys that the schema allows at a path; a union is narrowed by the input's discriminator. */
--- a/src/common/settings/settings.ts
+++ b/src/common/settings/settings.ts
@@ -45,7 +45,7 @@
 	plain: z.boolean().default(false).describe('True = no TLS between VMs. Only for one machine or a closed network.'),
 	tls: tlsSchema.optional().describe('TLS files; needed unless plain = true.'),
 	seeds: z.array(endpointSchema).default([]).describe('VMs to ask first, as address:port. The platform\'s list of VMs adds to them.'),
-}).refine(isTlsDecided, {
+}).refine(hasEitherTlsOrPlain, {
 	path: ['tls'],
 	error: 'one of two: a [peers.tls] table, or plain = true',
 	// Run also when another key of the table is invalid, so that all errors are reported at once.
@@ -56,7 +56,7 @@
  * Returns true if the input has either a `tls` table or `plain = true`, not both. Runs on unchecked input; returns true for a
  * missing or malformed `peers` table, which the schema reports itself.
  */
-function isTlsDecided(peers: unknown): boolean {
+function hasEitherTlsOrPlain(peers: unknown): boolean {
 	if (typeof peers !== 'object' || peers === null) {
 		return true;
 	}
--- a/src/node/api/fake-gateway.test.ts
+++ b/src/node/api/fake-gateway.test.ts
@@ -13,10 +13,10 @@
 } from './types.ts';
 
 /** Simulated state of the store, which determines the outcome of writes. */
-export type StoreMood = 'well' | 'loses-answers' | 'loses-writes' | 'out';
+export type StoreState = 'well' | 'loses-answers' | 'loses-writes' | 'out';
 
 export class FakeGateway implements OperatorGateway {
-	mood: StoreMood = 'well';
+	mood: StoreState = 'well';
 	report: BurnReport = {
 		services: [], vmsCounted: ['vm-1'], vmsMissing: [], copiesCounted: 0,
 	};
@@ -159,13 +159,13 @@
 
 	private _commit(request: ChangeRequest, operator: string): void {
 		const version = this.version + 1;
-		const changes = request.mutations.map(mutation => this._carryOut(mutation, version));
+		const changes = request.mutations.map(mutation => this._apply(mutation, version));
 		this._records.push({
 			version, operation: request.operation, operator, when: '2026-01-02T03:04:05Z', note: request.note, changes, inForceOn: ['identity-of-vm-1'], behindOn: [],
 		});
 	}
 
-	private _carryOut(mutation: Mutation, version: number): ChangeRecord['changes'][number] {
+	private _apply(mutation: Mutation, version: number): ChangeRecord['changes'][number] {
 		const key = keyOf(mutation);
 		if (mutation.type === 'delete') {
 			this._stored.delete(key);
--- a/src/node/api/operator-directory.ts
+++ b/src/node/api/operator-directory.ts
@@ -25,15 +25,15 @@
 	 * Resists timing attacks that guess a token byte by byte: digests have equal length, are compared in constant time, and
 	 * every entry is compared even after a match.
 	 */
-	recognise(authorization: string | undefined): Maybe<Operator> {
+	authenticate(authorization: string | undefined): Maybe<Operator> {
 		const token = /^Bearer +(?<token>\S+)$/iv.exec(authorization ?? '')?.groups?.token;
 		if (token === undefined) {
 			return Maybe.nothing();
 		}
 
 		const digest = digestOf(token);
-		const areSame = this._entries.map(entry => timingSafeEqual(entry.digest, digest));
-		return Maybe.of(this._entries[areSame.indexOf(true)]).map(({name, role}) => ({name, role}));
+		const matches = this._entries.map(entry => timingSafeEqual(entry.digest, digest));
+		return Maybe.of(this._entries[matches.indexOf(true)]).map(({name, role}) => ({name, role}));
 	}
 }
 
--- a/src/node/api/operator-server.ts
+++ b/src/node/api/operator-server.ts
@@ -20,10 +20,10 @@
 const requestTimeoutMilliseconds = 60_000;
 
 /** Maximum number of connections. Operators and their programs are few; more connections indicate a fault or an attack. */
-const mostConnections = 200;
+const maxConnections = 200;
 
 /** Maximum time for which the end of the process waits for responses to operators; a write to the store is answered or lost within 2 s. */
-const longestEnd: Milliseconds = 3000;
+const maxEndMilliseconds: Milliseconds = 3000;
 
 export type OperatorServerFailure = Failure<'cannot-listen'>;
 
@@ -37,7 +37,7 @@
 		this._server = this._register(new GracefulServer({headersTimeout: headTimeoutMilliseconds, requestTimeout: requestTimeoutMilliseconds}, (request, response) => {
 			void listener(request, response);
 		}));
-		this._server.maxConnections = mostConnections;
+		this._server.maxConnections = maxConnections;
 	}
 
 	/** Starts to listen and resolves with the port; the system chooses it if `port` is 0. */
@@ -47,7 +47,7 @@
 
 	/** Closes the listener at the end of the process; resolves when all responses in progress are sent or the time limit is reached. */
 	async end(): Promise<void> {
-		return closeListener(this._server, longestEnd);
+		return closeListener(this._server, maxEndMilliseconds);
 	}
 
 	private async _listen(address: string, port: number): Promise<Result<number, OperatorServerFailure>> {
--- a/src/node/api/problems.ts
+++ b/src/node/api/problems.ts
@@ -4,7 +4,7 @@
 import {type GatewayFailure, type Problem} from './types.ts';
 
 /** Last part of a problem's type, after the prefix. Clients may rely on it; titles and details may change. */
-export type ProblemWord
+export type ProblemName
 	= | 'invalid-input'
 		| 'unauthorised'
 		| 'forbidden'
@@ -18,7 +18,7 @@
 		| 'not-ready'
 		| 'internal';
 
-const catalogue: Readonly<Record<ProblemWord, {readonly status: number; readonly title: string}>> = {
+const catalogue: Readonly<Record<ProblemName, {readonly status: number; readonly title: string}>> = {
 	'invalid-input': {status: 400, title: 'The input is not allowed; nothing was changed'},
 	unauthorised: {status: 401, title: 'No known operator'},
 	forbidden: {status: 403, title: 'The operator may not do this'},
@@ -36,10 +36,10 @@
 type ProblemExtras = Pick<Problem, 'faults' | 'winner' | 'operation'> & {readonly status?: number};
 
 /** Creates a problem with the title and status of its type. */
-export function problem(word: ProblemWord, detail: string, extras: ProblemExtras = {}): Problem {
-	const entry = catalogue[word];
+export function problem(name: ProblemName, detail: string, extras: ProblemExtras = {}): Problem {
+	const entry = catalogue[name];
 	return {
-		type: `${problemTypePrefix}${word}`,
+		type: `${problemTypePrefix}${name}`,
 		title: entry.title,
 		status: entry.status,
 		detail,
--- a/src/node/api/request-input.ts
+++ b/src/node/api/request-input.ts
@@ -42,14 +42,14 @@
 }
 
 /** Reads a whole number from 0 to `most` from the query; `fallback` if the parameter is absent. */
-export function readNumber(context: Context, name: string, fallback: number, most: number): Result<number, Problem> {
+export function readNumber(context: Context, name: string, fallback: number, max: number): Result<number, Problem> {
 	const text = context.req.query(name);
 	if (text === undefined) {
 		return ok(fallback);
 	}
 
-	const range = `a whole number from 0 to ${most}`;
-	const schema = z.strictObject({[name]: z.string().regex(/^\d{1,15}$/v, range).transform(Number).refine(value => value <= most, range)});
+	const range = `a whole number from 0 to ${max}`;
+	const schema = z.strictObject({[name]: z.string().regex(/^\d{1,15}$/v, range).transform(Number).refine(value => value <= max, range)});
 	return checkInput(schema, {[name]: text}).map(value => Number(value[name]));
 }
 
--- a/src/node/api/resource-api.ts
+++ b/src/node/api/resource-api.ts
@@ -43,7 +43,7 @@
 	/** Authenticates and authorises the operator before the body is read, so that unauthenticated clients use no memory. */
 	private _authenticate(): MiddlewareHandler<ApiEnvironment> {
 		return async (context, next) => {
-			const operator = this._parts.directory.recognise(context.req.header('authorization'));
+			const operator = this._parts.directory.authenticate(context.req.header('authorization'));
 			if (operator.isNothing) {
 				return problemResponse(problem('unauthorised', 'allowed: an Authorization header with the bearer token of an operator'));
 			}
--- a/src/node/api/resource-routes.ts
+++ b/src/node/api/resource-routes.ts
@@ -15,26 +15,26 @@
 	type ApiEnvironment,
 } from './request-input.ts';
 import {
-	changeRequestSchema, mostListed, resourceKeySchema, resourceKindSchema,
+	changeRequestSchema, maxListedResources, resourceKeySchema, resourceKindSchema,
 	type ChangeAccepted, type ChangeRequest, type Mutation, type OperatorGateway, type Problem, type ResourceList, type ResourcesInForce,
 } from './types.ts';
 
 type ApiContext = Context<ApiEnvironment>;
 
 /** Maximum duration of a watch request; short enough to detect a broken connection. */
-const longestWatchMilliseconds = 60_000;
-const usualWatchMilliseconds = 25_000;
-const longestHistory = 1000;
-const usualHistory = 20;
+const maxWatchMilliseconds = 60_000;
+const defaultWatchMilliseconds = 25_000;
+const maxHistoryRecords = 1000;
+const defaultHistoryRecords = 20;
 
 /** Maximum number of keys in one request; their query fits into the usual limit of a request head. */
-const mostKeys = 50;
+const maxKeys = 50;
 
 const listQuerySchema = z.strictObject({
 	kind: resourceKindSchema.optional(),
 	service: nameSchema.optional(),
 	after: z.string().max(128).default(''),
-	key: z.array(resourceKeySchema).max(mostKeys).default([]),
+	key: z.array(resourceKeySchema).max(maxKeys).default([]),
 });
 type ListQuery = z.infer<typeof listQuerySchema>;
 
@@ -46,7 +46,7 @@
 	routes.get('/resources/:kind/:name', context => getResource(gateway, context));
 	routes.put('/resources/:kind/:name', async context => replaceResource(gateway, context));
 	routes.delete('/resources/:kind/:name', async context => deleteResource(gateway, context));
-	routes.post('/changes', async context => applyTogether(gateway, context));
+	routes.post('/changes', async context => applyChange(gateway, context));
 	routes.get('/operations/:operation', context => {
 		const state = gateway.operation(context.req.param('operation'));
 		return state.match(value => context.json(value), cause => problemResponse(gatewayProblem(cause)));
@@ -57,7 +57,7 @@
 }
 
 function listResources(gateway: OperatorGateway, context: ApiContext): Response {
-	return readNumber(context, 'limit', mostListed, mostListed)
+	return readNumber(context, 'limit', maxListedResources, maxListedResources)
 		.andThen(limit => checkInput(listQuerySchema, {
 			kind: context.req.query('kind'),
 			service: context.req.query('service'),
@@ -116,7 +116,7 @@
 	const body = await readBody(context, resourceSchema);
 	const {expected} = precondition.value;
 	const request = readKey(context)
-		.andThen(key => body.andThen(resource => resourceKey(resource) === key ? ok(resource) : err(nameDiffers(key, resourceKey(resource)))))
+		.andThen(key => body.andThen(resource => resourceKey(resource) === key ? ok(resource) : err(nameMismatch(key, resourceKey(resource)))))
 		.andThen(resource => requestOf(context, {type: 'put', resource, expected}));
 	return sendChange(gateway, context, request, {isCreation: expected === 0, hasPrecondition: true});
 }
@@ -128,7 +128,7 @@
 	return sendChange(gateway, context, request, {isCreation: false, hasPrecondition: true});
 }
 
-async function applyTogether(gateway: OperatorGateway, context: ApiContext): Promise<Response> {
+async function applyChange(gateway: OperatorGateway, context: ApiContext): Promise<Response> {
 	const body = await readBody(context, changeRequestSchema);
 	return sendChange(gateway, context, body, {isCreation: false, hasPrecondition: false});
 }
@@ -163,7 +163,7 @@
 async function watch(gateway: OperatorGateway, context: ApiContext): Promise<Response> {
 	const query = Result.combine([
 		readNumber(context, 'after', 0, Number.MAX_SAFE_INTEGER),
-		readNumber(context, 'milliseconds', usualWatchMilliseconds, longestWatchMilliseconds),
+		readNumber(context, 'milliseconds', defaultWatchMilliseconds, maxWatchMilliseconds),
 	]);
 	if (query.isErr()) {
 		return problemResponse(query.error);
@@ -175,7 +175,7 @@
 }
 
 function history(gateway: OperatorGateway, context: ApiContext): Response {
-	return readNumber(context, 'limit', usualHistory, longestHistory)
+	return readNumber(context, 'limit', defaultHistoryRecords, maxHistoryRecords)
 		.andThen(limit => gateway.history(limit).mapErr(cause => gatewayProblem(cause)))
 		.match(records => context.json({records}), problemResponse);
 }
@@ -185,6 +185,6 @@
 	return `"${version}"`;
 }
 
-function nameDiffers(expected: ResourceKey, found: ResourceKey): Problem {
+function nameMismatch(expected: ResourceKey, found: ResourceKey): Problem {
 	return invalidInput([failure('not-allowed', `found ${found}; allowed: ${expected}, as in the path`, {field: 'name'})]);
 }
--- a/src/node/api/types.ts
+++ b/src/node/api/types.ts
@@ -41,14 +41,14 @@
 export type Mutation = z.infer<typeof mutationSchema>;
 
 /** Maximum number of mutations in one change; at 0.5 KB each, a change stays well below the store's limit of a megabyte. */
-const mostMutations = 1000;
+const maxMutations = 1000;
 
 /** Mutations that come into force atomically. */
 export const changeRequestSchema = z.strictObject({
 	operation: operationSchema,
 	/** Reason for the change, shown in the history. */
 	note: z.string().max(500).default(''),
-	mutations: z.array(mutationSchema).min(1).max(mostMutations),
+	mutations: z.array(mutationSchema).min(1).max(maxMutations),
 });
 export type ChangeRequest = z.infer<typeof changeRequestSchema>;
 
@@ -86,7 +86,7 @@
 export type OperationState = z.infer<typeof operationStateSchema>;
 
 /** Maximum number of resources in one response. Serialising 500 to JSON delays calls by less than a millisecond, 20,000 by 27 ms. */
-export const mostListed = 500;
+export const maxListedResources = 500;
 
 /** Resources in force on the answering VM, all of one configuration version, sorted by key. */
 export const resourceListSchema = z.strictObject({
--- a/src/node/decider-loop.ts
+++ b/src/node/decider-loop.ts
@@ -10,7 +10,7 @@
 };
 
 /** Executes one effect and feeds its results back to the loop as events. */
-export type Carrier<Effect> = (effect: Effect) => void;
+export type EffectExecutor<Effect> = (effect: Effect) => void;
 
 /** Event loop of one decider, on one thread. */
 export class DeciderLoop<Event, Effect> extends Disposable implements EventSink<Event | {readonly type: 'tick'}> {
@@ -18,7 +18,7 @@
 	private readonly _clock: Clock;
 	private readonly _pending: Array<Event | {readonly type: 'tick'}> = [];
 	private readonly _timer = this._register(new MutableDisposable<DisposableLike>());
-	private _carrier: Carrier<Effect> | undefined;
+	private _executor: EffectExecutor<Effect> | undefined;
 	private _isRunning = false;
 	private _isDisposed = false;
 	private _wakeUpAt: Instant | undefined;
@@ -30,8 +30,8 @@
 	}
 
 	/** Sets the executor of effects. A setter, because executors feed the loop and are therefore created after it. */
-	setCarrier(carrier: Carrier<Effect>): void {
-		this._carrier = carrier;
+	setCarrier(executor: EffectExecutor<Effect>): void {
+		this._executor = executor;
 	}
 
 	override dispose(): void {
@@ -53,7 +53,7 @@
 		try {
 			for (let next = this._pending.shift(); next !== undefined; next = this._pending.shift()) {
 				for (const effect of this._decider.handle(next, this._clock.now())) {
-					this._carrier?.(effect);
+					this._executor?.(effect);
 				}
 			}
 		} finally {
--- a/src/node/early-listener.test.ts
+++ b/src/node/early-listener.test.ts
@@ -54,22 +54,22 @@
 describe('the readiness gate of a starting VM', () => {
 	// Fails if calls are refused just before the VM has read its configuration.
 	it('holds calls until it opens, and none afterwards', () => {
-		const hold = new ReadinessGate();
+		const gate = new ReadinessGate();
 		const seen: string[] = [];
-		hold.whenReady(() => seen.push('kept'));
+		gate.whenReady(() => seen.push('kept'));
 		const before = seen.length;
-		hold.open();
-		hold.whenReady(() => seen.push('at once'));
+		gate.open();
+		gate.whenReady(() => seen.push('at once'));
 		expect([before, seen]).toEqual([0, ['kept', 'at once']]);
-		hold.dispose();
+		gate.dispose();
 	});
 
 	// Fails if calls are held indefinitely when no configuration arrives.
 	it('opens by itself after a time-out of a fifth of a second', async () => {
-		const hold = new ReadinessGate();
+		const gate = new ReadinessGate();
 		await new Promise<void>(resolve => {
-			hold.whenReady(resolve);
+			gate.whenReady(resolve);
 		});
-		hold.dispose();
+		gate.dispose();
 	});
 });
--- a/src/node/entropy.ts
+++ b/src/node/entropy.ts
@@ -4,7 +4,7 @@
 
 const source = '/dev/urandom';
 
-const bytesOfSeed = 4;
+const seedBytes = 4;
 
 /**
  * Returns unpredictable bytes. Read directly from the kernel: loading node's crypto module takes 8 of the 84 ms of an entry
@@ -24,5 +24,5 @@
 
 /** Returns a 32-bit seed for a random number generator. */
 export function entropySeed(): number {
-	return entropyBytes(bytesOfSeed).readUInt32LE();
+	return entropyBytes(seedBytes).readUInt32LE();
 }
--- a/src/node/fleet/feed-client.ts
+++ b/src/node/fleet/feed-client.ts
@@ -12,22 +12,22 @@
 import {decodeFrame, encodeAnnouncement, feedPath} from './feed-frame.ts';
 
 /** Connect time-out; a round trip to another data centre takes 3 ms. After a time-out another VM is tried. */
-const connectMilliseconds: Milliseconds = 300;
+const connectTimeoutMilliseconds: Milliseconds = 300;
 
 /** Maximum length of an incomplete line, in characters; a longer one does not come from a VM of this fleet. */
-const longestLine = 16_777_216;
+const maxLineCharacters = 16_777_216;
 
 /** Delay before the connection is destroyed, so that the last announcement is sent. */
-const farewellMilliseconds: Milliseconds = 100;
+const closeDelayMilliseconds: Milliseconds = 100;
 
 type FeedSink = EventSink<Extract<FleetEvent, {type: 'feed-frame' | 'feed-closed'}>>;
 
 export class FeedClient extends Disposable {
 	private readonly _sink: FeedSink;
 	private readonly _logger: Logger;
-	private readonly _listening = this._register(new MutableDisposable());
+	private readonly _subscription = this._register(new MutableDisposable());
 	/** Body of the current request; announcements are written to it. */
-	private _words: Readable | undefined;
+	private _announcements: Readable | undefined;
 
 	constructor(sink: FeedSink, logger: Logger) {
 		super();
@@ -37,54 +37,54 @@
 
 	/** Subscribes to the feed of this VM and ends any other subscription; undefined = no subscription. */
 	follow(source: PeerAddress | undefined): void {
-		this._words = undefined;
+		this._announcements = undefined;
 		if (source === undefined) {
-			this._listening.value = undefined;
+			this._subscription.value = undefined;
 			return;
 		}
 
 		const client = new Client(`http://${source}`, {
-			connect: {timeout: connectMilliseconds}, headersTimeout: 0, bodyTimeout: 0, allowH2: false,
+			connect: {timeout: connectTimeoutMilliseconds}, headersTimeout: 0, bodyTimeout: 0, allowH2: false,
 		});
-		const listener = new FrameHandler(source, this._sink, this._logger);
-		const words = new Readable({
+		const handler = new FrameHandler(source, this._sink, this._logger);
+		const announcements = new Readable({
 			read() {
 				// Lines are pushed by `announce`.
 			},
 		});
-		words.on('error', () => {
+		announcements.on('error', () => {
 			// The connection has ended; the response handler reports it.
 		});
 		// undici sends the request with the first bytes of its body.
-		words.push('\n');
-		this._words = words;
-		this._listening.value = toDisposable(() => {
-			listener.isOver = true;
+		announcements.push('\n');
+		this._announcements = announcements;
+		this._subscription.value = toDisposable(() => {
+			handler.isEnded = true;
 			// Send the last announcement before the connection ends.
-			words.push(null);
+			announcements.push(null);
 			setTimeout(() => {
 				void client.destroy();
-			}, farewellMilliseconds).unref();
+			}, closeDelayMilliseconds).unref();
 		});
 		client.dispatch({
-			method: 'POST', path: feedPath, body: words, headers: ['content-type', 'application/x-ndjson'],
-		}, listener);
+			method: 'POST', path: feedPath, body: announcements, headers: ['content-type', 'application/x-ndjson'],
+		}, handler);
 	}
 
 	/** Sends an announcement of this VM to the VM whose feed is subscribed; does nothing without a subscription. */
 	announce(announcement: MemberAnnouncement): void {
-		this._words?.push(encodeAnnouncement(announcement));
+		this._announcements?.push(encodeAnnouncement(announcement));
 	}
 }
 
 /** undici dispatch handler that reads the frames of one feed. */
 class FrameHandler implements Dispatcher.DispatchHandler {
 	/** The subscription has ended; later frames and the end of the response are ignored. */
-	isOver = false;
+	isEnded = false;
 	private readonly _source: PeerAddress;
 	private readonly _sink: FeedSink;
 	private readonly _logger: Logger;
-	private readonly _lines = new LineReader(longestLine);
+	private readonly _lines = new LineReader(maxLineCharacters);
 
 	constructor(source: PeerAddress, sink: FeedSink, logger: Logger) {
 		this._source = source;
@@ -97,14 +97,14 @@
 	}
 
 	onResponseData(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
-		const lines = this._lines.take(chunk);
+		const lines = this._lines.read(chunk);
 		if (lines === undefined) {
 			controller.abort(new FrameTooLong());
 			return;
 		}
 
 		for (const line of lines) {
-			this._take(line);
+			this._handleLine(line);
 		}
 	}
 
@@ -116,8 +116,8 @@
 		this._end();
 	}
 
-	private _take(line: string): void {
-		if (this.isOver) {
+	private _handleLine(line: string): void {
+		if (this.isEnded) {
 			return;
 		}
 
@@ -132,8 +132,8 @@
 	}
 
 	private _end(): void {
-		if (!this.isOver) {
-			this.isOver = true;
+		if (!this.isEnded) {
+			this.isEnded = true;
 			this._sink.feed({type: 'feed-closed', source: this._source});
 		}
 	}
--- a/src/node/fleet/feed-frame.ts
+++ b/src/node/fleet/feed-frame.ts
@@ -12,10 +12,10 @@
  * Length from which a frame is compressed. Without compression, forty VMs that subscribe to a VM with a link of 7 Mbit/s
  * would wait four seconds for a configuration of 90 KB. 350 routes with random names compress from 54,918 to 5581 bytes.
  */
-const compressFromBytes = 1000;
+const compressionThresholdBytes = 1000;
 
 /** Maximum size of a decompressed frame. A value in the store has at most a megabyte, and all entries of a fleet together are smaller. */
-const mostFrameBytes = 16_777_216;
+const maxFrameBytes = 16_777_216;
 
 const frameSchema = z.object({
 	revision: z.int().min(0),
@@ -30,7 +30,7 @@
 const announcementSchema = z.object({identity: z.string().min(1), value: z.string(), intent: z.enum(['stay', 'turn', 'leave'])});
 
 /** First character of a compressed line; uncompressed lines begin with a brace. */
-const compressedMark = 'z';
+const compressedPrefix = 'z';
 
 /** Omits `createdAt` where it is absent, instead of setting it to undefined. */
 function toFrame({entries, ...frame}: z.infer<typeof frameSchema>): FeedFrame {
@@ -39,13 +39,13 @@
 
 export function encodeFrame(frame: Partial<FeedFrame>): string {
 	const text = JSON.stringify(frame);
-	return text.length < compressFromBytes ? `${text}\n` : `${compressedMark}${deflateRawSync(text, {level: 1}).toString('base64')}\n`;
+	return text.length < compressionThresholdBytes ? `${text}\n` : `${compressedPrefix}${deflateRawSync(text, {level: 1}).toString('base64')}\n`;
 }
 
 export function decodeFrame(line: string): Result<FeedFrame, Failure<'invalid-document'>> {
 	try {
-		const text = line.startsWith(compressedMark)
-			? inflateRawSync(Buffer.from(line.slice(1), 'base64'), {maxOutputLength: mostFrameBytes}).toString()
+		const text = line.startsWith(compressedPrefix)
+			? inflateRawSync(Buffer.from(line.slice(1), 'base64'), {maxOutputLength: maxFrameBytes}).toString()
 			: line;
 		const parsed = frameSchema.safeParse(JSON.parse(text));
 		return parsed.success ? ok(toFrame(parsed.data)) : err(failure('invalid-document', `frame: ${parsed.error.issues[0]?.message ?? 'invalid'}`));
--- a/src/node/fleet/feed-server.ts
+++ b/src/node/fleet/feed-server.ts
@@ -15,10 +15,10 @@
 import {probePathPrefix} from './vm-probe-client.ts';
 
 /** Maximum number of bytes buffered for one subscriber, so that a frozen or disconnected one does not fill this VM's memory. */
-const mostUnreadBytes = 1_000_000;
+const maxBufferedBytes = 1_000_000;
 
 /** Maximum length of an announcement in characters; a longer one does not come from a VM of this fleet. */
-const longestAnnouncement = 10_000;
+const maxAnnouncementCharacters = 10_000;
 
 const statusServing = 200;
 const statusNotServing = 404;
@@ -40,7 +40,7 @@
 	/** The latest stream of each VM that sent an announcement, by identity. The end of an earlier stream is ignored. */
 	private readonly _streams = new Map<string, ServerResponse>();
 	private readonly _server: Server;
-	private readonly _listeners = new Set<ServerResponse>();
+	private readonly _subscribers = new Set<ServerResponse>();
 
 	constructor(metrics: Metrics, content: FeedContent, sink: MemberSink) {
 		super();
@@ -49,7 +49,7 @@
 		this._content = content;
 		this._server = createServer({requestTimeout: 0}, (incoming, outgoing) => {
 			if (incoming.url === feedPath) {
-				this._welcome(incoming, outgoing);
+				this._acceptSubscriber(incoming, outgoing);
 			} else {
 				incoming.resume();
 				outgoing.writeHead(this._isServing(incoming.url ?? '') ? statusServing : statusNotServing, {connection: 'close'}).end();
@@ -67,20 +67,20 @@
 
 	/** Sends a frame to all subscribers. */
 	publish(frame: FeedFrame): void {
-		if (this._listeners.size > 0) {
+		if (this._subscribers.size > 0) {
 			this._send(encodeFrame(frame));
 		}
 	}
 
-	private _welcome(incoming: IncomingMessage, outgoing: ServerResponse): void {
+	private _acceptSubscriber(incoming: IncomingMessage, outgoing: ServerResponse): void {
 		outgoing.once('close', () => {
-			this._listeners.delete(outgoing);
-			this._end(outgoing);
+			this._subscribers.delete(outgoing);
+			this._endStream(outgoing);
 		});
-		this._hear(incoming, outgoing);
+		this._readAnnouncements(incoming, outgoing);
 		outgoing.writeHead(200, {'content-type': 'application/x-ndjson'});
 		outgoing.write(encodeFrame(this._content.whole()));
-		this._listeners.add(outgoing);
+		this._subscribers.add(outgoing);
 	}
 
 	private _isServing(url: string): boolean {
@@ -88,17 +88,17 @@
 	}
 
 	/** Reads the request body, in which the VM sends one announcement per line. */
-	private _hear(incoming: IncomingMessage, outgoing: ServerResponse): void {
-		const lines = new LineReader(longestAnnouncement);
+	private _readAnnouncements(incoming: IncomingMessage, outgoing: ServerResponse): void {
+		const lines = new LineReader(maxAnnouncementCharacters);
 		incoming.on('data', (chunk: Buffer) => {
-			const read = lines.take(chunk);
+			const read = lines.read(chunk);
 			if (read === undefined) {
 				outgoing.destroy();
 				return;
 			}
 
 			for (const line of read) {
-				this._take(line, outgoing);
+				this._handleLine(line, outgoing);
 			}
 		});
 		incoming.on('error', () => {
@@ -107,7 +107,7 @@
 		});
 	}
 
-	private _take(line: string, outgoing: ServerResponse): void {
+	private _handleLine(line: string, outgoing: ServerResponse): void {
 		if (line === '') {
 			return;
 		}
@@ -123,7 +123,7 @@
 		this._sink.feed({type: 'member-announced', announcement});
 	}
 
-	private _end(outgoing: ServerResponse): void {
+	private _endStream(outgoing: ServerResponse): void {
 		for (const [identity, stream] of this._streams) {
 			if (stream === outgoing) {
 				this._streams.delete(identity);
@@ -133,9 +133,9 @@
 	}
 
 	private _send(line: string): void {
-		this._metrics.peerTraffic('out', this._listeners.size, line.length * this._listeners.size);
-		for (const outgoing of this._listeners) {
-			if (outgoing.writableLength > mostUnreadBytes) {
+		this._metrics.peerTraffic('out', this._subscribers.size, line.length * this._subscribers.size);
+		for (const outgoing of this._subscribers) {
+			if (outgoing.writableLength > maxBufferedBytes) {
 				outgoing.destroy();
 			} else {
 				outgoing.write(line);
--- a/src/node/fleet/feed-stream.test.ts
+++ b/src/node/fleet/feed-stream.test.ts
@@ -29,17 +29,17 @@
 /** A feed server on its own port, a subscriber, and the events that each of them emits. */
 class Streams {
 	readonly owned = new DisposableStore();
-	readonly told: FleetEvent[] = [];
-	readonly heard: FleetEvent[] = [];
+	readonly serverEvents: FleetEvent[] = [];
+	readonly clientEvents: FleetEvent[] = [];
 	readonly server = this.owned.add(new FeedServer(noMetrics, {isServing: identity => identity === 'here', whole: () => frame}, {
 		feed: event => {
-			this.told.push(event);
+			this.serverEvents.push(event);
 		},
 	}));
 
-	readonly follower = this.owned.add(new FeedClient({
+	readonly client = this.owned.add(new FeedClient({
 		feed: event => {
-			this.heard.push(event);
+			this.clientEvents.push(event);
 		},
 	}, silentLogger));
 
@@ -68,13 +68,13 @@
 
 	it('carries the registry feed and announcements in opposite directions on one connection', async () => {
 		const address = await streams.start();
-		streams.follower.follow(address);
-		streams.follower.announce(announcement);
-		await until(() => streams.told.length > 0 && streams.heard.length > 0);
+		streams.client.follow(address);
+		streams.client.announce(announcement);
+		await until(() => streams.serverEvents.length > 0 && streams.clientEvents.length > 0);
 		streams.server.publish({...frame, revision: 8, isWhole: false});
-		streams.follower.announce({...announcement, intent: 'leave'});
-		await until(() => streams.told.length > 1 && streams.heard.length > 1);
-		expect([streams.heard, streams.told]).toEqual([
+		streams.client.announce({...announcement, intent: 'leave'});
+		await until(() => streams.serverEvents.length > 1 && streams.clientEvents.length > 1);
+		expect([streams.clientEvents, streams.serverEvents]).toEqual([
 			[{type: 'feed-frame', source: address, frame}, {type: 'feed-frame', source: address, frame: {...frame, revision: 8, isWhole: false}}],
 			[{type: 'member-announced', announcement}, {type: 'member-announced', announcement: {...announcement, intent: 'leave'}}],
 		]);
@@ -82,26 +82,26 @@
 
 	// Fails if callers still receive the address of a killed VM because the VM that registers it does not detect the end.
 	it('reports the end of a subscriber to the VM that serves the feed', async () => {
-		streams.follower.follow(await streams.start());
-		streams.follower.announce(announcement);
-		await until(() => streams.told.length > 0);
-		streams.follower.follow(undefined);
-		await until(() => streams.told.length > 1);
-		expect(streams.told.at(-1)).toEqual({type: 'member-ended', identity: 'vm-1'});
+		streams.client.follow(await streams.start());
+		streams.client.announce(announcement);
+		await until(() => streams.serverEvents.length > 0);
+		streams.client.follow(undefined);
+		await until(() => streams.serverEvents.length > 1);
+		expect(streams.serverEvents.at(-1)).toEqual({type: 'member-ended', identity: 'vm-1'});
 	});
 
 	it('reports the end of the serving VM to the subscriber', async () => {
 		const address = await streams.start();
-		streams.follower.follow(address);
-		await until(() => streams.heard.length > 0);
+		streams.client.follow(address);
+		await until(() => streams.clientEvents.length > 0);
 		streams.server.dispose();
-		await until(() => streams.heard.length > 1);
-		expect(streams.heard.at(-1)).toEqual({type: 'feed-closed', source: address});
+		await until(() => streams.clientEvents.length > 1);
+		expect(streams.clientEvents.at(-1)).toEqual({type: 'feed-closed', source: address});
 	});
 
 	it('closes a stream that carries an invalid announcement', async () => {
 		const address = await streams.start();
 		const answer = await fetch(`http://${address}${feedPath}`, {method: 'POST', body: 'no announcement\n'}).then(async response => response.text()).catch(() => 'ended');
-		expect([answer, streams.told]).toEqual(['ended', []]);
+		expect([answer, streams.serverEvents]).toEqual(['ended', []]);
 	});
 });
--- a/src/node/fleet/fleet-carrier.ts
+++ b/src/node/fleet/fleet-carrier.ts
@@ -10,30 +10,30 @@
 import {type EventSink} from '../decider-loop.ts';
 import {type PeerTransport, type PlatformClient} from './types.ts';
 
-/** Effects that the front or the logs handle. */
+/** Effects that the daemon passes to the front or the logs. */
 export type OutwardEffect = Exclude<OuterFleetEffect, {type: 'store' | 'send' | 'operator-answer' | 'follow-feed' | 'publish-feed' | 'announce' | 'probe-vm'}>;
 
-type OuterFleetEvent = Extract<FleetEvent, {type: 'started' | 'store-replied' | 'peer-message' | 'peer-unreachable' | 'vm-list' | 'operator-change' | 'operator-drain'}>;
+type FleetSinkEvent = Extract<FleetEvent, {type: 'started' | 'store-replied' | 'peer-message' | 'peer-unreachable' | 'vm-list' | 'operator-change' | 'operator-drain'}>;
 
 /** Executes fleet effects and feeds the results back to the engine. */
 export class FleetCarrier extends Disposable {
-	private readonly _sink: EventSink<OuterFleetEvent>;
+	private readonly _sink: EventSink<FleetSinkEvent>;
 	private readonly _clock: Clock;
 	private readonly _platform: PlatformClient;
 	private readonly _peers: PeerTransport;
 	private readonly _waitingOperators = new Map<number, (answer: OperatorAnswer) => void>();
-	private readonly _listTimer = this._register(new MutableDisposable<DisposableLike>());
+	private readonly _vmListTimer = this._register(new MutableDisposable<DisposableLike>());
 	private readonly _onEffect = this._register(new Emitter<OutwardEffect>());
 	private readonly _onStage = this._register(new Emitter<FleetStage>());
 	private _lastRequestId = 0;
 	private _isDisposed = false;
 
-	/** Fires for each effect that the front or the logs handle. */
+	/** Fires for each effect that the daemon handles. */
 	readonly onEffect = this._onEffect.event;
 	/** Fires when the VM enters another stage of its lifecycle. */
 	readonly onStage = this._onStage.event;
 
-	constructor(sink: EventSink<OuterFleetEvent>, clock: Clock, platform: PlatformClient, peers: PeerTransport) {
+	constructor(sink: EventSink<FleetSinkEvent>, clock: Clock, platform: PlatformClient, peers: PeerTransport) {
 		super();
 		this._sink = sink;
 		this._clock = clock;
@@ -48,9 +48,9 @@
 	}
 
 	/** Starts the engine and reads the platform's list of VMs at the given interval. */
-	start(listEveryMilliseconds: Milliseconds): void {
+	start(listIntervalMilliseconds: Milliseconds): void {
 		this._sink.feed({type: 'started'});
-		void this._readList(listEveryMilliseconds);
+		void this._readVmList(listIntervalMilliseconds);
 	}
 
 	override dispose(): void {
@@ -76,7 +76,7 @@
 	carryOut(effect: OuterFleetEffect): void {
 		switch (effect.type) {
 			case 'store': {
-				void this._ask(effect);
+				void this._executeStoreOperation(effect);
 				break;
 			}
 
@@ -111,12 +111,12 @@
 		}
 	}
 
-	private async _ask(effect: OuterFleetEffect & {type: 'store'}): Promise<void> {
+	private async _executeStoreOperation(effect: OuterFleetEffect & {type: 'store'}): Promise<void> {
 		const reply = await this._platform.execute(effect.operation);
 		this._sink.feed({type: 'store-replied', requestId: effect.requestId, reply});
 	}
 
-	private async _readList(every: Milliseconds): Promise<void> {
+	private async _readVmList(intervalMilliseconds: Milliseconds): Promise<void> {
 		const vms = await this._platform.listVms();
 		if (this._isDisposed) {
 			return;
@@ -126,8 +126,8 @@
 			this._sink.feed({type: 'vm-list', vms});
 		}
 
-		this._listTimer.value = this._clock.after(every, () => {
-			void this._readList(every);
+		this._vmListTimer.value = this._clock.after(intervalMilliseconds, () => {
+			void this._readVmList(intervalMilliseconds);
 		});
 	}
 }
--- a/src/node/fleet/store-carrier.ts
+++ b/src/node/fleet/store-carrier.ts
@@ -25,13 +25,13 @@
 
 	carryOut(effect: OutwardEffect | (OuterFleetEffect & {type: 'store' | 'send' | 'operator-answer'})): void {
 		if (effect.type === 'store') {
-			void this._ask(effect);
+			void this._executeStoreOperation(effect);
 		} else if (effect.type !== 'send' && effect.type !== 'operator-answer') {
 			this._onEffect.fire(effect);
 		}
 	}
 
-	private async _ask({requestId, operation}: OuterFleetEffect & {type: 'store'}): Promise<void> {
+	private async _executeStoreOperation({requestId, operation}: OuterFleetEffect & {type: 'store'}): Promise<void> {
 		const reply = await this._client.execute(operation);
 		this._sink.feed({type: 'store-replied', requestId, reply});
 	}
--- a/src/node/fleet/vm-probe-client.test.ts
+++ b/src/node/fleet/vm-probe-client.test.ts
@@ -18,7 +18,7 @@
 	let client: VmProbeClient;
 
 	/** Waits until the given number of probes has ended, at most ten seconds. */
-	async function told(count: number): Promise<void> {
+	async function waitForResults(count: number): Promise<void> {
 		for (let tries = 0; tries < 1000 && results.length < count; tries++) {
 			await delay(10);
 		}
@@ -47,15 +47,15 @@
 		const port = await server.listen(0, '127.0.0.1');
 		const address = `127.0.0.1:${port._unsafeUnwrap()}`;
 		client.probe('now-here', address);
-		await told(1);
+		await waitForResults(1);
 		client.probe('before', address);
-		await told(2);
+		await waitForResults(2);
 		expect(results).toEqual([{type: 'vm-probed', identity: 'now-here', isServing: true}, {type: 'vm-probed', identity: 'before', isServing: false}]);
 	});
 
 	it('reports a VM whose process has ended as not serving', async () => {
 		client.probe('gone', '127.0.0.1:1');
-		await told(1);
+		await waitForResults(1);
 		expect(results).toEqual([{type: 'vm-probed', identity: 'gone', isServing: false}]);
 	});
 
@@ -70,7 +70,7 @@
 		}));
 		const port = await listenOn(silent, 0, '127.0.0.1');
 		client.probe('silent', `127.0.0.1:${port._unsafeUnwrap()}`);
-		await told(1);
+		await waitForResults(1);
 		expect(results).toEqual([{type: 'vm-probed', identity: 'silent', isServing: false}]);
 	});
 });
--- a/src/node/fleet/vm-probe-client.ts
+++ b/src/node/fleet/vm-probe-client.ts
@@ -12,7 +12,7 @@
 const statusServing = 200;
 
 /** Time after which an unfinished probe is closed. The engine has a shorter time-out of its own. */
-const longestMilliseconds: Milliseconds = 2 * vmProbeTimeoutMilliseconds;
+const maxProbeMilliseconds: Milliseconds = 2 * vmProbeTimeoutMilliseconds;
 
 type ProbeSink = EventSink<Extract<FleetEvent, {type: 'vm-probed'}>>;
 
@@ -48,7 +48,7 @@
 
 export class VmProbeClient extends Disposable {
 	private readonly _sink: ProbeSink;
-	private readonly _underWay = this._register(new DisposableStore());
+	private readonly _active = this._register(new DisposableStore());
 
 	constructor(sink: ProbeSink) {
 		super();
@@ -58,19 +58,19 @@
 	/** Feeds `vm-probed` once, on the head of the response or on an error. */
 	probe(identity: string, address: PeerAddress): void {
 		const client = new Client(`http://${address}`, {connect: {timeout: vmProbeTimeoutMilliseconds}, allowH2: false});
-		const ending = this._underWay.add(toDisposable(() => {
+		const ending = this._active.add(toDisposable(() => {
 			clearTimeout(timer);
 			void client.destroy();
 		}));
 		const timer = setTimeout(() => {
-			this._underWay.delete(ending);
-		}, longestMilliseconds);
-		let isTold = false;
+			this._active.delete(ending);
+		}, maxProbeMilliseconds);
+		let isReported = false;
 		client.dispatch({method: 'GET', path: probePathPrefix + encodeURIComponent(identity)}, new ProbeHandler(isServing => {
-			if (!isTold) {
-				isTold = true;
+			if (!isReported) {
+				isReported = true;
 				this._sink.feed({type: 'vm-probed', identity, isServing});
-				this._underWay.delete(ending);
+				this._active.delete(ending);
 			}
 		}));
 	}
--- a/src/node/logging/bounded-writer.ts
+++ b/src/node/logging/bounded-writer.ts
@@ -7,13 +7,13 @@
 const descriptor = 1;
 
 /** Time for which lines are collected before they are written together; a write costs more than formatting ten lines. */
-const gatherMilliseconds: Milliseconds = 50;
+const flushDelayMilliseconds: Milliseconds = 50;
 
 /** Maximum number of buffered bytes, one second of the busiest log. Further lines are dropped and counted. */
-const mostWaitingBytes = 262_144;
+const maxBufferedBytes = 262_144;
 
 /** Default time for which the end of the process waits for a reader; less than half of the time that a bounded stop reserves for its last steps. */
-const usualLongestEnd: Milliseconds = 100;
+const defaultEndTimeoutMilliseconds: Milliseconds = 100;
 
 /**
  * Keeps calls independent of the log's reader: Node's own standard output blocks the thread once the pipe is full, which
@@ -21,7 +21,7 @@
  * dropped and counted, and the count is written as soon as there is room.
  */
 export class BoundedWriter extends Disposable {
-	private readonly _longestEnd: Milliseconds;
+	private readonly _endTimeoutMilliseconds: Milliseconds;
 	private _lines: string[] = [];
 	private _bytes = 0;
 	private _dropped = 0;
@@ -30,9 +30,9 @@
 	private _onAllWritten: (() => void) | undefined;
 
 	/** `longestEnd` = maximum time for which `end` waits for a reader, in milliseconds. */
-	constructor(longestEnd: Milliseconds = usualLongestEnd) {
+	constructor(endTimeoutMilliseconds: Milliseconds = defaultEndTimeoutMilliseconds) {
 		super();
-		this._longestEnd = longestEnd;
+		this._endTimeoutMilliseconds = endTimeoutMilliseconds;
 		this._register(toDisposable(() => {
 			clearTimeout(this._timer);
 		}));
@@ -40,7 +40,7 @@
 
 	/** Buffers one line, including its line end. */
 	readonly write = (line: string): void => {
-		if (this._bytes + line.length > mostWaitingBytes) {
+		if (this._bytes + line.length > maxBufferedBytes) {
 			this._dropped++;
 			return;
 		}
@@ -49,7 +49,7 @@
 		this._bytes += line.length;
 		this._timer ??= setTimeout(() => {
 			this._flush();
-		}, gatherMilliseconds).unref();
+		}, flushDelayMilliseconds).unref();
 	};
 
 	/**
@@ -58,7 +58,7 @@
 	 */
 	async end(): Promise<void> {
 		return new Promise(resolve => {
-			const timer = setTimeout(resolve, this._longestEnd);
+			const timer = setTimeout(resolve, this._endTimeoutMilliseconds);
 			this._onAllWritten = () => {
 				clearTimeout(timer);
 				resolve();
@@ -81,10 +81,10 @@
 		}
 
 		this._isWriting = true;
-		this._writeAll(Buffer.from(this._take()));
+		this._writeAll(Buffer.from(this._takeBuffer()));
 	}
 
-	private _take(): string {
+	private _takeBuffer(): string {
 		const text = this._lines.join('');
 		const summary = this._dropped === 0 ? '' : `${JSON.stringify({level: 'warn', message: 'log lines left out', count: this._dropped})}\n`;
 		this._lines = [];
@@ -104,7 +104,7 @@
 			if (error?.code === 'EAGAIN') {
 				setTimeout(() => {
 					this._writeAll(bytes);
-				}, gatherMilliseconds).unref();
+				}, flushDelayMilliseconds).unref();
 				return;
 			}
 
--- a/src/node/metrics/counted-parts.ts
+++ b/src/node/metrics/counted-parts.ts
@@ -20,32 +20,32 @@
 	}
 
 	async execute(operation: StoreOperation): Promise<StoreReply> {
-		const begin = this._clock.now();
+		const startedAt = this._clock.now();
 		const reply = await this._client.execute(operation);
-		this._metrics.platformCalled(operation.type, reply.type, this._clock.now() - begin);
+		this._metrics.platformCalled(operation.type, reply.type, this._clock.now() - startedAt);
 		return reply;
 	}
 
 	async listVms(): ReturnType<PlatformClient['listVms']> {
-		const begin = this._clock.now();
+		const startedAt = this._clock.now();
 		const vms = await this._client.listVms();
-		this._metrics.platformCalled('list-vms', vms === undefined ? 'unavailable' : 'entries', this._clock.now() - begin);
+		this._metrics.platformCalled('list-vms', vms === undefined ? 'unavailable' : 'entries', this._clock.now() - startedAt);
 		return vms;
 	}
 }
 
 /** Counts load probes by service. */
 export class CountedMeasurer implements LoadProbeClient {
-	private readonly _measurer: LoadProbeClient;
+	private readonly _client: LoadProbeClient;
 	private readonly _metrics: Metrics;
 
-	constructor(measurer: LoadProbeClient, metrics: Metrics) {
-		this._measurer = measurer;
+	constructor(client: LoadProbeClient, metrics: Metrics) {
+		this._client = client;
 		this._metrics = metrics;
 	}
 
 	probe(effect: CallEffect & {type: 'measure'}, sink: CallEventSink): void {
-		this._metrics.measured(effect.service);
-		this._measurer.probe(effect, sink);
+		this._metrics.loadProbeSent(effect.service);
+		this._client.probe(effect, sink);
 	}
 }
--- a/src/node/metrics/metrics.test.ts
+++ b/src/node/metrics/metrics.test.ts
@@ -65,7 +65,7 @@
 		metrics.rateLimits(2);
 		metrics.rateLimitUnreadable('ordering');
 		metrics.configurationRejected('reads');
-		metrics.measured('ordering');
+		metrics.loadProbeSent('ordering');
 		metrics.platformCalled('get', 'entry', 4);
 		metrics.peerTraffic('out', 2, 600);
 		metrics.operatorAnswered('GET', 200);
--- a/src/node/metrics/no-metrics.ts
+++ b/src/node/metrics/no-metrics.ts
@@ -13,7 +13,7 @@
 	rateLimits: ignore,
 	rateLimitUnreadable: ignore,
 	configurationRejected: ignore,
-	measured: ignore,
+	loadProbeSent: ignore,
 	platformCalled: ignore,
 	peerTraffic: ignore,
 	operatorAnswered: ignore,
--- a/src/node/metrics/page-metrics.test.ts
+++ b/src/node/metrics/page-metrics.test.ts
@@ -15,7 +15,7 @@
 		metrics.rateLimits(2);
 		metrics.rateLimitUnreadable('ordering');
 		metrics.configurationRejected('reads');
-		metrics.measured('orders');
+		metrics.loadProbeSent('orders');
 		metrics.platformCalled('watch', 'changes', 12);
 		expect(await metrics.text()).toMatchSnapshot(this);
 	});
--- a/src/node/metrics/page-metrics.ts
+++ b/src/node/metrics/page-metrics.ts
@@ -22,7 +22,7 @@
 	private readonly _unreadableLimits = this._counter('jaydale_unreadable_rate_limits_total', 'Backend servers that began to name a rate limit which cannot be read.', ['service']);
 	private readonly _withheld = this._counter('jaydale_rate_limit_withheld_total', 'Calls kept from a backend server by its rate limit.', ['service']);
 	private readonly _rejectedConfigurations = this._counter('jaydale_rejected_configurations_total', 'Configurations that could not be read.', ['route']);
-	private readonly _measurings = this._counter('jaydale_measuring_calls_total', 'Calls made to learn a load.', ['service']);
+	private readonly _loadProbes = this._counter('jaydale_measuring_calls_total', 'Calls made to learn a load.', ['service']);
 	private readonly _storeCalls = this._counter('jaydale_store_calls_total', 'Requests to the store.', ['operation', 'reply']);
 	private readonly _peerBytes = this._counter('jaydale_peer_bytes_total', 'Bytes between VMs.', ['direction']);
 	private readonly _operatorAnswers = this._counter('jaydale_operator_answers_total', 'Answers to operators.', ['method', 'status']);
@@ -64,8 +64,8 @@
 		this._rejectedConfigurations.inc({route: route ?? ''});
 	}
 
-	measured(service: string): void {
-		this._measurings.inc({service});
+	loadProbeSent(service: string): void {
+		this._loadProbes.inc({service});
 	}
 
 	platformCalled(operation: string, reply: string, milliseconds: Milliseconds): void {
--- a/src/node/metrics/statsd-metrics.ts
+++ b/src/node/metrics/statsd-metrics.ts
@@ -25,14 +25,14 @@
 export class StatsdMetrics extends Disposable implements Metrics {
 	private readonly _client: StatsD;
 	/** Aggregated here, because the StatsD client takes 3 µs for each increment with tags. */
-	private readonly _ended = new Map<string, CallTally>();
+	private readonly _tallies = new Map<string, CallTally>();
 	private _calls = 0;
 
 	/**
-	 * @param onTrouble called with the error message when a datagram could not be sent
+	 * @param onError called with the error message when a datagram could not be sent
 	 * @param overrides client options for tests
 	 */
-	constructor(settings: Settings, onTrouble: (message: string) => void, overrides: ClientOptions = {}) {
+	constructor(settings: Settings, onError: (message: string) => void, overrides: ClientOptions = {}) {
 		super();
 		this._client = new StatsD({
 			host: settings.metrics.host,
@@ -44,7 +44,7 @@
 			aggregation: {flushInterval: flushMilliseconds},
 			includeDataDogTags: false,
 			errorHandler(error) {
-				onTrouble(error.message);
+				onError(error.message);
 			},
 			...overrides,
 		});
@@ -97,7 +97,7 @@
 		this._count('configurations.rejected', 1, {route: route ?? 'none'});
 	}
 
-	measured(service: string): void {
+	loadProbeSent(service: string): void {
 		this._count('measuring.calls', 1, {service});
 	}
 
@@ -128,7 +128,7 @@
 		const {service, outcome, isGood} = summary;
 		const reason = summary.reason ?? 'none';
 		const key = `${service}/${outcome}/${reason}/${isGood}`;
-		const known = this._ended.get(key);
+		const known = this._tallies.get(key);
 		if (known !== undefined) {
 			return known;
 		}
@@ -139,16 +139,16 @@
 			},
 			calls: 0,
 		};
-		this._ended.set(key, tally);
+		this._tallies.set(key, tally);
 		return tally;
 	}
 
 	private _flushCalls(): void {
-		for (const {tags, calls} of this._ended.values()) {
+		for (const {tags, calls} of this._tallies.values()) {
 			this._count('calls.ended', calls, tags);
 		}
 
-		this._ended.clear();
+		this._tallies.clear();
 	}
 
 	private _count<Name extends MetricNameOf<'counter'>>(name: Name, value: number, tags: TagsOf<Name>): void {
--- a/src/node/metrics/types.ts
+++ b/src/node/metrics/types.ts
@@ -29,7 +29,7 @@
 	/** A configuration was rejected; `route` = the invalid route, undefined if the error is not in a route. */
 	configurationRejected(route: string | undefined): void;
 	/** A load probe was sent to a backend server of the service. */
-	measured(service: string): void;
+	loadProbeSent(service: string): void;
 	/** A request to the platform's service has ended, for example operation `get` with reply `unavailable`. */
 	platformCalled(operation: string, reply: string, milliseconds: Milliseconds): void;
 	/** Messages and bytes exchanged with other VMs since the last report. */
--- a/src/node/peers/burn-codec.ts
+++ b/src/node/peers/burn-codec.ts
@@ -4,7 +4,7 @@
 import {burnWindowNameSchema, processCountsSchema, type ProcessCounts} from '../../common/burn/types.ts';
 import {failure, type Failure} from '../../common/errors/failure.ts';
 
-const numbersABucket = 3;
+const numbersPerBucket = 3;
 
 const wireWindowSchema = z.object({window: burnWindowNameSchema, buckets: z.array(z.number())});
 const wireServiceSchema = z.object({
@@ -13,14 +13,14 @@
 const wireCountsSchema = z.object({
 	identity: z.string(), vm: z.string(), ageMilliseconds: z.number(), services: z.array(wireServiceSchema),
 });
-const wireToldSchema = z.object({own: wireCountsSchema, copies: z.array(wireCountsSchema)});
+const wireReportSchema = z.object({own: wireCountsSchema, copies: z.array(wireCountsSchema)});
 
 /** Counts as defined in `proto/burn.proto`: buckets are flat lists of numbers. */
 export type WireCounts = z.infer<typeof wireCountsSchema>;
-export type WireTold = z.infer<typeof wireToldSchema>;
+export type WireReport = z.infer<typeof wireReportSchema>;
 
 /** Counts of one VM's process, and the copies that the VM stores. */
-export type Told = {readonly own: ProcessCounts; readonly copies: readonly ProcessCounts[]};
+export type CountsReport = {readonly own: ProcessCounts; readonly copies: readonly ProcessCounts[]};
 
 export function countsToWire(counts: ProcessCounts): WireCounts {
 	return {
@@ -38,8 +38,8 @@
 	return parsed.success ? ok(parsed.data) : err(failure('malformed-message', 'The burn counts are invalid.'));
 }
 
-export function toldFromWire(input: unknown): Result<Told, Failure<'malformed-message'>> {
-	const wire = wireToldSchema.safeParse(input);
+export function toldFromWire(input: unknown): Result<CountsReport, Failure<'malformed-message'>> {
+	const wire = wireReportSchema.safeParse(input);
 	if (!wire.success) {
 		return err(failure('malformed-message', 'The burn counts are invalid.'));
 	}
@@ -54,12 +54,12 @@
 		...wire,
 		services: wire.services.map(service => ({
 			...service,
-			windows: service.windows.map(({window, buckets}) => ({window, buckets: triples(buckets)})),
+			windows: service.windows.map(({window, buckets}) => ({window, buckets: toTriples(buckets)})),
 		})),
 	};
 }
 
-function triples(numbers: readonly number[]): number[][] {
-	return Array.from({length: Math.ceil(numbers.length / numbersABucket)}, (_, index) =>
-		numbers.slice(index * numbersABucket, (index + 1) * numbersABucket));
+function toTriples(numbers: readonly number[]): number[][] {
+	return Array.from({length: Math.ceil(numbers.length / numbersPerBucket)}, (_, index) =>
+		numbers.slice(index * numbersPerBucket, (index + 1) * numbersPerBucket));
 }
--- a/src/node/peers/burn-exchange.ts
+++ b/src/node/peers/burn-exchange.ts
@@ -7,16 +7,16 @@
 import {type Milliseconds} from '../../common/model/units.ts';
 import {type Clock} from '../clock.ts';
 import {
-	countsFromWire, countsToWire, type Told, toldFromWire,
+	countsFromWire, countsToWire, type CountsReport, toldFromWire,
 } from './burn-codec.ts';
 import {type GrpcPeerTransport} from './grpc-peer-transport.ts';
 import {loadService, type UntypedService} from './proto-file.ts';
 
 /** Number of other VMs that store a copy of this VM's counts. More than one, because one of them may fail together with this VM. */
-const copyHolders = 2;
+const copyCount = 2;
 
 /** Interval between copies, and thus the maximum time of counts that a crash loses. */
-const copyEvery: Milliseconds = 30_000;
+const copyIntervalMilliseconds: Milliseconds = 30_000;
 
 /** Answers of the other VMs. */
 export type GatheredCounts = {
@@ -60,11 +60,11 @@
 	/** Requests the counts of all other VMs concurrently. VMs that do not answer in time are listed in `silent`. */
 	async gather(): Promise<GatheredCounts> {
 		const peers = this._parts.peers();
-		const answers = await Promise.all(peers.map(async address => ({address, told: await this._ask(address)})));
-		const heard = answers.flatMap(({told}) => told === undefined ? [] : [told]);
+		const answers = await Promise.all(peers.map(async address => ({address, told: await this._requestCounts(address)})));
+		const received = answers.flatMap(({told}) => told === undefined ? [] : [told]);
 		return {
-			told: heard.map(({own}) => own),
-			copies: [...heard.flatMap(({copies}) => copies), ...this._parts.copies.all(this._parts.clock.now())],
+			told: received.map(({own}) => own),
+			copies: [...received.flatMap(({copies}) => copies), ...this._parts.copies.all(this._parts.clock.now())],
 			answered: answers.filter(({told}) => told !== undefined).map(({address}) => address),
 			silent: answers.filter(({told}) => told === undefined).map(({address}) => address),
 		};
@@ -72,7 +72,7 @@
 
 	/** Starts to send copies to other VMs periodically. */
 	start(): void {
-		this._timer.value = this._parts.clock.after(copyEvery, () => {
+		this._timer.value = this._parts.clock.after(copyIntervalMilliseconds, () => {
 			void this.leaveCopies();
 			this.start();
 		});
@@ -81,12 +81,12 @@
 	/** Sends a copy of the current counts to other VMs; also the last step of a planned stop. */
 	async leaveCopies(): Promise<void> {
 		const counts = countsToWire(this._parts.own());
-		const holders = this._parts.peers().slice(0, copyHolders);
-		await Promise.all(holders.map(async address => this._parts.transport.ask(address, this._service.Keep!, counts)));
+		const receivers = this._parts.peers().slice(0, copyCount);
+		await Promise.all(receivers.map(async address => this._parts.transport.request(address, this._service.Keep!, counts)));
 	}
 
-	private async _ask(address: PeerAddress): Promise<Told | undefined> {
-		const answer = await this._parts.transport.ask(address, this._service.Tell!, {});
+	private async _requestCounts(address: PeerAddress): Promise<CountsReport | undefined> {
+		const answer = await this._parts.transport.request(address, this._service.Tell!, {});
 		const told = answer.andThen(message => toldFromWire(message));
 		return told.isOk() ? told.value : undefined;
 	}
--- a/src/node/peers/grpc-peer-transport.test.ts
+++ b/src/node/peers/grpc-peer-transport.test.ts
@@ -8,7 +8,7 @@
 import fc from 'fast-check';
 import {type PeerBody, type PeerMessage} from '../../common/fleet/peer-messages.ts';
 import {testBackendServer, testService} from '../../common/fleet/test-utilities.test.ts';
-import {GrpcPeerTransport, type PeerTrouble} from './grpc-peer-transport.ts';
+import {GrpcPeerTransport, type PeerFailure} from './grpc-peer-transport.ts';
 import {fromWire, toWire} from './peer-codec.ts';
 import {
 	checkTlsFiles, plainCredentials, type TlsFiles, watchTlsFiles,
@@ -88,26 +88,26 @@
 }
 
 /** Received messages and failures of an exchange. */
-type Exchanged = {readonly received: readonly PeerMessage[]; readonly troubles: readonly string[]};
+type Exchanged = {readonly received: readonly PeerMessage[]; readonly failures: readonly string[]};
 
 /** Sends messages over sockets; resolves when each has been received or has failed. */
 async function exchange(receiver: GrpcPeerTransport, sender: GrpcPeerTransport, messages: readonly PeerMessage[]): Promise<Exchanged> {
 	const received: PeerMessage[] = [];
-	const troubles: string[] = [];
+	const failures: string[] = [];
 	const listening = await receiver.listen();
 	if (listening.isErr()) {
 		receiver.dispose();
 		sender.dispose();
-		return {received, troubles: [`cannot listen: ${listening.error.kind}`]};
+		return {received, failures: [`cannot listen: ${listening.error.kind}`]};
 	}
 
 	const port = listening.value;
 	return new Promise(resolve => {
 		const finish = (): void => {
-			if (received.length + troubles.length >= messages.length) {
+			if (received.length + failures.length >= messages.length) {
 				receiver.dispose();
 				sender.dispose();
-				resolve({received, troubles});
+				resolve({received, failures});
 			}
 		};
 
@@ -115,8 +115,8 @@
 			received.push(item);
 			finish();
 		});
-		sender.onTrouble(({failure}: PeerTrouble) => {
-			troubles.push(failure.kind);
+		sender.onTrouble(({failure}: PeerFailure) => {
+			failures.push(failure.kind);
 			finish();
 		});
 		for (const item of messages) {
@@ -183,9 +183,9 @@
 		const sender = new GrpcPeerTransport(`${address}:0`, plainCredentials(), () => 0);
 		const receiver = new GrpcPeerTransport(`${address}:0`, plainCredentials(), () => 0);
 		const messages = bodies.map((body, index) => message(body, index % 2 === 0 ? rumours : {}));
-		const {received, troubles} = await exchange(receiver, sender, messages);
+		const {received, failures} = await exchange(receiver, sender, messages);
 		const byType = received.toSorted((a, b) => (a.body.type < b.body.type ? -1 : 1));
-		expect(troubles).toEqual([]);
+		expect(failures).toEqual([]);
 		const sent = messages.toSorted((a, b) => (a.body.type < b.body.type ? -1 : 1));
 		expect(byType.map(item => JSON.stringify(item, sortedKeys))).toEqual(sent.map(item => JSON.stringify(item, sortedKeys)));
 		expect(sender.traffic.bytesOut).toEqual(receiver.traffic.bytesIn);
@@ -234,8 +234,8 @@
 			const run = async (name: string, receiverFiles: TlsFiles, senderFiles: TlsFiles | undefined, ownAddress = address): Promise<void> => {
 				const receiver = new GrpcPeerTransport(`${address}:0`, watchTlsFiles(receiverFiles, ownAddress), () => 0);
 				const sender = new GrpcPeerTransport(`${address}:0`, senderFiles ? watchTlsFiles(senderFiles, address) : plainCredentials(), () => 0);
-				const {received, troubles} = await exchange(receiver, sender, [message({type: 'ping', nonce: 1})]);
-				outcomes[name] = {received: received.length, troubles};
+				const {received, failures} = await exchange(receiver, sender, [message({type: 'ping', nonce: 1})]);
+				outcomes[name] = {received: received.length, troubles: failures};
 			};
 
 			await run('good', certificates.files('good'), certificates.files('good'));
@@ -255,7 +255,7 @@
 			const files = certificates.files('live');
 			const receiver = new GrpcPeerTransport(`${address}:0`, watchTlsFiles(files, address, 20), () => 0);
 			const listening = await receiver.listen();
-			const ask = async (): Promise<string> => new Promise(resolve => {
+			const sendOnce = async (): Promise<string> => new Promise(resolve => {
 				const sender = new GrpcPeerTransport(`${address}:0`, watchTlsFiles(certificates.files('good'), address), () => 0);
 				const finish = (result: string): void => {
 					sender.dispose();
@@ -272,9 +272,9 @@
 				sender.send(`${address}:${listening.unwrapOr(0)}`, message({type: 'join'}));
 			});
 			const waitFor = async (expected: string): Promise<void> => {
-				let result = await ask();
+				let result = await sendOnce();
 				while (result !== expected) {
-					result = await ask();
+					result = await sendOnce();
 				}
 			};
 
--- a/src/node/peers/grpc-peer-transport.ts
+++ b/src/node/peers/grpc-peer-transport.ts
@@ -18,7 +18,7 @@
 export type PeerTransportFailureKind = 'cannot-listen' | PeerCredentialsFailureKind;
 
 /** A failure in the communication with another VM, or in this VM's own certificate. */
-export type PeerTrouble = {
+export type PeerFailure = {
 	readonly address: PeerAddress;
 	readonly failure: Failure<PeerCredentialsFailureKind | 'malformed-message' | 'unreachable'>;
 };
@@ -35,18 +35,18 @@
 const deadlineMilliseconds = 1000;
 
 /** Idle time after which a connection is closed; in the largest supported fleet no VM keeps connections to all others. */
-const idleMilliseconds = 60_000;
+const idleTimeoutMilliseconds = 60_000;
 
 /** Interval between checks of this VM's own certificate. */
-const fileCheckMilliseconds = 60_000;
+const fileCheckIntervalMilliseconds = 60_000;
 
 /** Maximum size of a message; pages of resources and lists of changes are well below it. */
-const messageBytes = 4 * 1024 * 1024;
+const maxMessageBytes = 4 * 1024 * 1024;
 
 const clientOptions = {
 	'grpc.initial_reconnect_backoff_ms': 100,
 	'grpc.max_reconnect_backoff_ms': 1000,
-	'grpc.max_receive_message_length': messageBytes,
+	'grpc.max_receive_message_length': maxMessageBytes,
 	// Without a pool per client, a new client would reuse the silent connection that was just closed.
 	'grpc.use_local_subchannel_pool': 1,
 };
@@ -61,16 +61,16 @@
 }
 
 /** An additional gRPC service on the same listener. */
-type FurtherService = {readonly definition: ServiceDefinition; readonly implementation: UntypedServiceImplementation};
+type AdditionalService = {readonly definition: ServiceDefinition; readonly implementation: UntypedServiceImplementation};
 
 export class GrpcPeerTransport extends Disposable implements PeerTransport {
 	private readonly _onMessage = this._register(new Emitter<PeerMessage>());
 	private readonly _onUnreachable = this._register(new Emitter<PeerAddress>());
-	private readonly _onTrouble = this._register(new Emitter<PeerTrouble>());
+	private readonly _onFailure = this._register(new Emitter<PeerFailure>());
 	private readonly _peers = new Map<PeerAddress, Peer>();
 	private readonly _clients = this._register(new DisposableStore());
 	private readonly _deliver: DeliverMethod;
-	private readonly _further: FurtherService[] = [];
+	private readonly _additionalServices: AdditionalService[] = [];
 	private _messagesOut = 0;
 	private _bytesOut = 0;
 	private _messagesIn = 0;
@@ -79,7 +79,7 @@
 	readonly onMessage = this._onMessage.event;
 	readonly onUnreachable = this._onUnreachable.event;
 	/** Fires for each failure, for logs and metrics. */
-	readonly onTrouble = this._onTrouble.event;
+	readonly onTrouble = this._onFailure.event;
 
 	/** @param _listenAddress `IP:PORT` to listen on; port 0 takes a free one */
 	constructor(
@@ -99,12 +99,12 @@
 
 	/** Adds a gRPC service to the listener; must be called before `listen`. */
 	addService(definition: ServiceDefinition, implementation: UntypedServiceImplementation): void {
-		this._further.push({definition, implementation});
+		this._additionalServices.push({definition, implementation});
 	}
 
 	/** Sends a request to another VM and resolves with its response; fails after the deadline of a message. */
-	async ask(to: PeerAddress, method: UntypedMethod, request: object): Promise<Result<object, Failure<'unreachable'>>> {
-		const peer = this._peer(to);
+	async request(to: PeerAddress, method: UntypedMethod, request: object): Promise<Result<object, Failure<'unreachable'>>> {
+		const peer = this._peerFor(to);
 		return new Promise(resolve => {
 			const options = {deadline: Date.now() + deadlineMilliseconds};
 			peer.client.makeUnaryRequest(method.path, method.requestSerialize, method.responseDeserialize, request, options, (error, answer) => {
@@ -120,8 +120,8 @@
 			return err(checked.error);
 		}
 
-		this._checkFilesLater();
-		const server = new Server({'grpc.max_receive_message_length': messageBytes});
+		this._checkFilesPeriodically();
+		const server = new Server({'grpc.max_receive_message_length': maxMessageBytes});
 		this._register(toDisposable(() => {
 			server.forceShutdown();
 		}));
@@ -132,10 +132,10 @@
 
 		server.addService({Deliver: {...this._deliver, requestDeserialize}}, {
 			Deliver: (call: ServerUnaryCall<WireMessage, WireMessage>, answer: sendUnaryData<WireMessage>) => {
-				this._take(call, answer);
+				this._handleMessage(call, answer);
 			},
 		});
-		for (const {definition, implementation} of this._further) {
+		for (const {definition, implementation} of this._additionalServices) {
 			server.addService(definition, implementation);
 		}
 
@@ -155,29 +155,29 @@
 		};
 
 		this._messagesOut += 1;
-		const peer = this._peer(to);
+		const peer = this._peerFor(to);
 		const options = {deadline: Date.now() + deadlineMilliseconds};
 		peer.client.makeUnaryRequest(path, serialize, responseDeserialize, toWire(message), options, error => {
 			if (error && !this._store.isDisposed) {
-				this._takeError(to, peer, error);
+				this._handleError(to, peer, error);
 			}
 		});
 	}
 
 	/** Checks periodically whether the own certificate has expired, and reports it: other VMs only drop the connection. */
-	private _checkFilesLater(): void {
+	private _checkFilesPeriodically(): void {
 		const timer = setInterval(() => {
 			const checked = this._credentials.check();
 			if (checked.isErr()) {
-				this._onTrouble.fire({address: this._listenAddress, failure: checked.error});
+				this._onFailure.fire({address: this._listenAddress, failure: checked.error});
 			}
-		}, fileCheckMilliseconds);
+		}, fileCheckIntervalMilliseconds);
 		this._register(toDisposable(() => {
 			clearInterval(timer);
 		}));
 	}
 
-	private _peer(to: PeerAddress): Peer {
+	private _peerFor(to: PeerAddress): Peer {
 		const now = this._now();
 		this._closeIdle(now);
 		const known = this._peers.get(to);
@@ -209,7 +209,7 @@
 
 	private _closeIdle(now: number): void {
 		for (const [to, peer] of this._peers) {
-			if (now - peer.usedAt > idleMilliseconds) {
+			if (now - peer.usedAt > idleTimeoutMilliseconds) {
 				this._close(to, peer);
 			}
 		}
@@ -220,20 +220,20 @@
 	 * transferring data permanently while new connections to the same VM work; the next message then opens a new one. To a
 	 * dead VM every message opens a connection in vain, but the membership probes limit the number of such messages.
 	 */
-	private _takeError(to: PeerAddress, peer: Peer, error: {readonly code: number; readonly details: string}): void {
+	private _handleError(to: PeerAddress, peer: Peer, error: {readonly code: number; readonly details: string}): void {
 		if (error.code === Number(status.DEADLINE_EXCEEDED)) {
 			this._close(to, peer);
 		}
 
-		this._onTrouble.fire({address: to, failure: certificateFailure(error.details) ?? failure('unreachable', error.details)});
+		this._onFailure.fire({address: to, failure: certificateFailure(error.details) ?? failure('unreachable', error.details)});
 		this._onUnreachable.fire(to);
 	}
 
-	private _take(call: ServerUnaryCall<WireMessage, WireMessage>, answer: sendUnaryData<WireMessage>): void {
+	private _handleMessage(call: ServerUnaryCall<WireMessage, WireMessage>, answer: sendUnaryData<WireMessage>): void {
 		const message = fromWire(call.request);
 		this._messagesIn += 1;
 		if (message.isErr()) {
-			this._onTrouble.fire({address: call.getPeer(), failure: message.error});
+			this._onFailure.fire({address: call.getPeer(), failure: message.error});
 			answer({code: status.INVALID_ARGUMENT, details: message.error.message});
 			return;
 		}
--- a/src/node/peers/peer-codec.ts
+++ b/src/node/peers/peer-codec.ts
@@ -31,18 +31,18 @@
 const objectSchema = z.record(z.string(), z.unknown());
 const listSchema = z.array(objectSchema);
 
-function texts(values: readonly unknown[]): string[] {
+function toJsonTexts(values: readonly unknown[]): string[] {
 	return values.map(value => JSON.stringify(value));
 }
 
 function bodyToWire(body: PeerBody): WireMessage {
 	const {type, ...fields} = body;
 	if (body.type === 'changes') {
-		return {changes: {records: texts(body.records)}};
+		return {changes: {records: toJsonTexts(body.records)}};
 	}
 
 	if (body.type === 'snapshot-page') {
-		return {snapshotPage: {...fields, resources: texts(body.resources), records: texts(body.records)}};
+		return {snapshotPage: {...fields, resources: toJsonTexts(body.resources), records: toJsonTexts(body.records)}};
 	}
 
 	return {[bodyFields[type]]: fields};
@@ -59,39 +59,39 @@
 }
 
 /** Removes absent fields, and the library's properties that mark optional fields as set, which begin with an underscore. */
-function withoutMarks(value: unknown): Record<string, unknown> {
+function withoutPresenceFlags(value: unknown): Record<string, unknown> {
 	const parsed = objectSchema.safeParse(value);
 	return parsed.success ? Object.fromEntries(Object.entries(parsed.data).filter(([name, field]) => !name.startsWith('_') && field !== undefined && field !== null)) : {};
 }
 
-function parsedTexts(value: unknown): unknown[] {
+function parseJsonTexts(value: unknown): unknown[] {
 	return z.array(z.string()).parse(value).map((text): unknown => JSON.parse(text));
 }
 
 function bodyFromWire(wire: Record<string, unknown>): unknown {
 	const field = typeof wire.body === 'string' ? wire.body : '';
 	const type = bodyTypes.get(field);
-	const fields = withoutMarks(wire[field]);
+	const fields = withoutPresenceFlags(wire[field]);
 	if (type === 'changes') {
-		return {type, records: parsedTexts(fields.records)};
+		return {type, records: parseJsonTexts(fields.records)};
 	}
 
 	return type === 'snapshot-page'
 		? {
-			...fields, type, resources: parsedTexts(fields.resources), records: parsedTexts(fields.records),
+			...fields, type, resources: parseJsonTexts(fields.resources), records: parseJsonTexts(fields.records),
 		}
 		: {...fields, type};
 }
 
 function updateFromWire(value: Record<string, unknown>): unknown {
-	const update = withoutMarks(value);
-	return update.report === undefined ? update : {...update, report: withoutMarks(update.report)};
+	const update = withoutPresenceFlags(value);
+	return update.report === undefined ? update : {...update, report: withoutPresenceFlags(update.report)};
 }
 
 function messageFromWire(wire: Record<string, unknown>): unknown {
 	const {
 		protocol, sender, storeContactAgeMilliseconds, leavingDigest,
-	} = withoutMarks(wire);
+	} = withoutPresenceFlags(wire);
 	return {
 		protocol,
 		sender,
@@ -99,7 +99,7 @@
 		leavingDigest,
 		body: bodyFromWire(wire),
 		members: listSchema.parse(wire.members).map(({record, verdict}) => ({record, verdict: String(verdict).toLowerCase()})),
-		leaving: listSchema.parse(wire.leaving).map(rumour => withoutMarks(rumour)),
+		leaving: listSchema.parse(wire.leaving).map(rumour => withoutPresenceFlags(rumour)),
 		updates: listSchema.parse(wire.updates).map(update => updateFromWire(update)),
 	};
 }
--- a/src/node/peers/peer-credentials.ts
+++ b/src/node/peers/peer-credentials.ts
@@ -40,11 +40,11 @@
 const serverName = 'vm.jaydale.internal';
 
 /** Interval at which the files are checked for changes. */
-const refreshMilliseconds = 5000;
+const refreshIntervalMilliseconds = 5000;
 
-type Read = Result<string, Failure<PeerCredentialsFailureKind>>;
+type FileContent = Result<string, Failure<PeerCredentialsFailureKind>>;
 
-function read(path: string, field: string): Read {
+function read(path: string, field: string): FileContent {
 	try {
 		return ok(readFileSync(path, 'utf8'));
 	} catch {
@@ -107,12 +107,12 @@
  * Returns credentials that are reloaded from the files: new connections use a renewed certificate within seconds.
  * @param address IP number at which other VMs reach this VM
  */
-export function watchTlsFiles(files: TlsFiles, address: string, refreshEvery = refreshMilliseconds): PeerCredentials {
+export function watchTlsFiles(files: TlsFiles, address: string, intervalMilliseconds = refreshIntervalMilliseconds): PeerCredentials {
 	const provider = new experimental.FileWatcherCertificateProvider({
 		certificateFile: files.certificateFile,
 		privateKeyFile: files.keyFile,
 		caCertificateFile: files.authorityFile,
-		refreshIntervalMs: refreshEvery,
+		refreshIntervalMs: intervalMilliseconds,
 	});
 	return {
 		server: experimental.createCertificateProviderServerCredentials(provider, provider, true),
@@ -134,15 +134,15 @@
 	};
 }
 
-const transportSigns: ReadonlyArray<readonly [RegExp, PeerCredentialsFailureKind, string]> = [
+const transportErrorPatterns: ReadonlyArray<readonly [RegExp, PeerCredentialsFailureKind, string]> = [
 	[/certificate has expired/v, 'certificate-expired', 'Its certificate has expired.'],
 	[/certificate is not yet valid/v, 'certificate-not-yet-valid', 'Its certificate is not yet valid.'],
-	[/self.signed|unable to (?:get local issuer|verify)|unknown ca|signature failure/iv, 'certificate-untrusted', 'Its certificate is not signed by this VM\'s authority, or this VM\'s certificate is not signed by its authority.'],
+	[/self.signed|unable to (?:get local issuer|verify)|unknown ca|signature failure/iv, 'certificate-untrusted', 'One of the two certificates is not signed by the authority of the other VM.'],
 	[/altnames|does not match certificate/iv, 'certificate-wrong-address', 'Its certificate is not valid for the address at which it is reached.'],
 ];
 
 /** Returns the certificate failure that an error of the transport describes; undefined for other errors. */
 export function certificateFailure(details: string): Failure<PeerCredentialsFailureKind> | undefined {
-	const sign = transportSigns.find(([pattern]) => pattern.test(details));
-	return sign && failure(sign[1], sign[2]);
+	const match = transportErrorPatterns.find(([pattern]) => pattern.test(details));
+	return match && failure(match[1], match[2]);
 }
--- a/src/node/peers/quarantine-exchange.ts
+++ b/src/node/peers/quarantine-exchange.ts
@@ -23,7 +23,7 @@
 		this._transport = transport;
 		transport.addService(this._service, {
 			Lift: (call: ServerUnaryCall<object, object>, answer: sendUnaryData<object>) => {
-				this._take(call.request, answer);
+				this._handleRequest(call.request, answer);
 			},
 		});
 	}
@@ -31,11 +31,11 @@
 	/** Lifts the quarantine on this VM and the given peers. Resolves with the peers that could not be reached, where the quarantine lasts until it expires. */
 	async lift(fingerprint: string, peers: readonly PeerAddress[]): Promise<readonly PeerAddress[]> {
 		this._onLifted.fire(fingerprint);
-		const told = await Promise.all(peers.map(async address => ({address, answer: await this._transport.ask(address, this._service.Lift!, {fingerprint})})));
-		return told.filter(({answer}) => answer.isErr()).map(({address}) => address);
+		const results = await Promise.all(peers.map(async address => ({address, answer: await this._transport.request(address, this._service.Lift!, {fingerprint})})));
+		return results.filter(({answer}) => answer.isErr()).map(({address}) => address);
 	}
 
-	private _take(request: object, answer: sendUnaryData<object>): void {
+	private _handleRequest(request: object, answer: sendUnaryData<object>): void {
 		const lift = liftSchema.safeParse(request);
 		if (!lift.success) {
 			answer({code: status.INVALID_ARGUMENT, details: 'The fingerprint is missing or has an invalid length.'});
--- a/src/node/platform/http-platform-client.ts
+++ b/src/node/platform/http-platform-client.ts
@@ -9,7 +9,7 @@
 /** Time added to the duration of a watch for its answer to arrive. */
 const watchGraceMilliseconds = 2000;
 
-const connectMilliseconds = 1000;
+const connectTimeoutMilliseconds = 1000;
 
 /** Maximum number of connections. Each watch occupies one while it waits; the others serve concurrent requests. */
 const connections = 32;
@@ -52,47 +52,47 @@
 	private readonly _agent: Agent;
 
 	/**
-	 * @param _base URL of the service, such as `http://127.0.0.1:7000`
-	 * @param _timeout milliseconds after which an answer counts as lost; for a watch its duration is added
+	 * @param _baseUrl URL of the service, such as `http://127.0.0.1:7000`
+	 * @param _timeoutMilliseconds milliseconds after which an answer counts as lost; for a watch its duration is added
 	 */
-	constructor(private readonly _base: string, private readonly _timeout: Milliseconds) {
+	constructor(private readonly _baseUrl: string, private readonly _timeoutMilliseconds: Milliseconds) {
 		super();
 		// No pipelining, so that a broken connection loses the answer of one operation only.
-		this._agent = new Agent({pipelining: 1, connections, connect: {timeout: connectMilliseconds}});
+		this._agent = new Agent({pipelining: 1, connections, connect: {timeout: connectTimeoutMilliseconds}});
 		this._register(toDisposable(() => {
 			void this._agent.destroy();
 		}));
 	}
 
 	async execute(operation: StoreOperation): Promise<StoreReply> {
-		const limit = operation.type === 'watch' ? operation.milliseconds + watchGraceMilliseconds : this._timeout;
+		const headTimeoutMilliseconds = operation.type === 'watch' ? operation.milliseconds + watchGraceMilliseconds : this._timeoutMilliseconds;
 		try {
 			const {statusCode, body} = await this._agent.request({
-				origin: this._base,
+				origin: this._baseUrl,
 				path: '/kv',
 				method: 'POST',
 				headers: {'content-type': 'application/json'},
 				body: JSON.stringify(operation),
-				headersTimeout: limit,
-				bodyTimeout: this._timeout,
-				signal: AbortSignal.timeout(limit + this._timeout),
+				headersTimeout: headTimeoutMilliseconds,
+				bodyTimeout: this._timeoutMilliseconds,
+				signal: AbortSignal.timeout(headTimeoutMilliseconds + this._timeoutMilliseconds),
 			});
 			const parsed = replySchema.safeParse(await body.json());
 			if (parsed.success && (statusCode === 200 || parsed.data.type === 'unavailable')) {
 				return toReply(parsed.data);
 			}
 
-			return this._lost(operation);
+			return this._replyToLostAnswer(operation);
 		} catch (error) {
 			const code = errorCodeSchema.safeParse(error);
-			return code.success && unsentCodes.has(code.data.code) ? {type: 'unavailable'} : this._lost(operation);
+			return code.success && unsentCodes.has(code.data.code) ? {type: 'unavailable'} : this._replyToLostAnswer(operation);
 		}
 	}
 
 	async listVms(): Promise<readonly ListedVm[] | undefined> {
 		try {
 			const {statusCode, body} = await this._agent.request({
-				origin: this._base, path: '/vms', method: 'GET', headersTimeout: this._timeout, bodyTimeout: this._timeout,
+				origin: this._baseUrl, path: '/vms', method: 'GET', headersTimeout: this._timeoutMilliseconds, bodyTimeout: this._timeoutMilliseconds,
 			});
 			const parsed = listSchema.safeParse(await body.json());
 			return statusCode === 200 && parsed.success ? parsed.data : undefined;
@@ -102,7 +102,7 @@
 	}
 
 	/** Returns the reply for a request that was sent but whose answer is missing or incomplete. A write may have taken effect; a read has no effect. */
-	private _lost(operation: StoreOperation): StoreReply {
+	private _replyToLostAnswer(operation: StoreOperation): StoreReply {
 		return isRead(operation) ? {type: 'unavailable'} : {type: 'unknown'};
 	}
 }
--- a/src/node/settings/load-settings.test.ts
+++ b/src/node/settings/load-settings.test.ts
@@ -10,7 +10,7 @@
 
 const validTokens = '[[operator]]\nname = "hanna"\nrole = "write"\ntoken = "0123456789-0123456789"\n';
 
-const shortest = `
+const minimalSettings = `
 [vm]
 name = "vm-1"
 dataCentre = "gdansk-1"
@@ -48,7 +48,7 @@
 
 	it('fills in all defaults', function () {
 		const path = join(folder, 'vm.toml');
-		writeFileSync(path, shortest);
+		writeFileSync(path, minimalSettings);
 		const settings = loadSettings(path)._unsafeUnwrap();
 		expect(JSON.stringify(settings, undefined, '\t').replaceAll(folder, 'FOLDER')).toMatchSnapshot(this);
 	});
@@ -96,7 +96,7 @@
 	});
 
 	it('reports missing files before the daemon starts', function () {
-		const text = shortest.replace('plain = true', '[peers.tls]\ncertificateFile = "a.pem"\nkeyFile = "tokens.toml"\nauthorityFile = "c.pem"')
+		const text = minimalSettings.replace('plain = true', '[peers.tls]\ncertificateFile = "a.pem"\nkeyFile = "tokens.toml"\nauthorityFile = "c.pem"')
 			.replace('"tokens.toml"', '"none.toml"');
 		expect(faults(text)).toMatchSnapshot(this);
 	});
--- a/src/proof/guards/guards.ts
+++ b/src/proof/guards/guards.ts
@@ -268,8 +268,8 @@
 	{
 		name: 'the end of a process waits for its log lines',
 		file: 'src/node/logging/bounded-writer.ts',
-		text: 'const timer = setTimeout(resolve, this._longestEnd);',
-		replacement: 'resolve(); const timer = setTimeout(resolve, this._longestEnd);',
+		text: 'const timer = setTimeout(resolve, this._endTimeoutMilliseconds);',
+		replacement: 'resolve(); const timer = setTimeout(resolve, this._endTimeoutMilliseconds);',
 		tests: ['src/node/logging/last-lines.test.ts'],
 	},
 	{
