--- a/src/common/entry-vm/entry-vm.test.ts
+++ b/src/common/entry-vm/entry-vm.test.ts
@@ -17,9 +17,9 @@
 
 type Recorded = {readonly event: EntryVmEvent; readonly at: Instant};
 
-/** One VM whose store answers at once; everything it is told is recorded. */
+/** An entry VM whose store replies at once; records all events that the VM handles and all its effects. */
 class RecordedVm {
-	readonly told: Recorded[] = [];
+	readonly recorded: Recorded[] = [];
 	readonly effects: EntryVmEffect[] = [];
 	private readonly _store = new FakeStore();
 	private readonly _vm: EntryVm;
@@ -30,13 +30,13 @@
 		this._vm = new EntryVm(new DefaultCallEngine({random, settings: {dataCentre: 'north'}}), new FleetCoordinator(settings, random, testHash));
 	}
 
-	tell(event: EntryVmEvent): void {
-		this.told.push({event, at: this._now});
+	handle(event: EntryVmEvent): void {
+		this.recorded.push({event, at: this._now});
 		const effects = this._vm.handle(event, this._now);
 		this.effects.push(...effects);
 		for (const effect of effects) {
 			if (effect.type === 'store' && effect.operation.type !== 'watch') {
-				this.tell({type: 'store-replied', requestId: effect.requestId, reply: this._store.execute(effect.operation, this._now)});
+				this.handle({type: 'store-replied', requestId: effect.requestId, reply: this._store.execute(effect.operation, this._now)});
 			}
 		}
 	}
@@ -45,7 +45,7 @@
 		const end = this._now + milliseconds;
 		for (let at = this._vm.nextWakeUp(); at !== undefined && at <= end; at = this._vm.nextWakeUp()) {
 			this._now = Math.max(this._now, at);
-			this.tell({type: 'tick'});
+			this.handle({type: 'tick'});
 		}
 
 		this._now = end;
@@ -65,7 +65,7 @@
 			kind: 'backend-server', name: `spans-${number}`, service: 'spans', address: '10.0.0.1', port: 7000 + number, dataCentre: 'north',
 		})),
 	];
-	vm.tell({
+	vm.handle({
 		type: 'operator-change',
 		requestId: 1,
 		change: {
@@ -78,7 +78,7 @@
 }
 
 function call(vm: RecordedVm, callId: number): void {
-	vm.tell({
+	vm.handle({
 		type: 'call-arrived',
 		request: {
 			callId, service: 'spans', caller: 'portal', method: 'GET', fingerprint: `f${callId}`, timeoutMilliseconds: 1000, bodyBytes: 0,
@@ -93,7 +93,7 @@
 
 function started(seed: number): RecordedVm {
 	const vm = new RecordedVm(seed);
-	vm.tell({type: 'started'});
+	vm.handle({type: 'started'});
 	declare(vm);
 	vm.run(10);
 	return vm;
@@ -101,10 +101,10 @@
 
 describe('EntryVm', () => {
 	/*
-	 * A lost order can't be found out, because the run can't be repeated. Order: events from outside with a seed go to
-	 * two objects. Cause: a decision by clock, chance or I/O of its own. All effects must be the same.
+	 * Guards against a run that cannot be reproduced, which happens if an engine reads the clock, draws unseeded random
+	 * numbers or does I/O. Two entry VMs with the same seed and the same external events must return the same effects.
 	 */
-	it('does the same again when it is told the same', () => {
+	it('returns the same effects for the same events and seed', () => {
 		const first = started(20_261_202);
 		for (let callId = 1; callId <= 50; callId += 1) {
 			call(first, callId);
@@ -113,27 +113,27 @@
 
 		first.run(3000);
 		const second = new RecordedVm(20_261_202);
-		second.replay(first.told);
+		second.replay(first.recorded);
 		expect(second.effects).toEqual(first.effects);
 		expect(portsOfAttempts(first).length).toBeGreaterThanOrEqual(12);
 	});
 
 	/*
-	 * A backend server that stops still gets work. Order: it marks one answer as its last; other calls follow. Cause: the
-	 * mark stays with the call that saw it. Neither engine may place on it again, and the fleet must hear of it.
+	 * Guards against calls to a backend server that is stopping. The server marks one answer as leaving, and the mark takes
+	 * effect only for the call that received it. Later calls must go to other servers, and the fleet engine must receive the sign.
 	 */
-	it('takes the mark of leaving on an answer to both engines', () => {
+	it('forwards a leaving mark on an answer to both engines', () => {
 		const vm = started(7);
 		call(vm, 1);
 		const [leaving] = portsOfAttempts(vm);
 		const report = {
 			inFlight: 1, queued: 0, slots: 6, instance: 'process-1', isLeaving: true,
 		};
-		vm.tell({type: 'attempt-sent', attemptId: 1});
-		vm.tell({
+		vm.handle({type: 'attempt-sent', attemptId: 1});
+		vm.handle({
 			type: 'attempt-head', attemptId: 1, status: 200, report, isDeclaredNotRun: false, isReplayable: true, validator: undefined,
 		});
-		vm.tell({type: 'attempt-done', attemptId: 1});
+		vm.handle({type: 'attempt-done', attemptId: 1});
 		for (let callId = 2; callId <= 40; callId += 1) {
 			call(vm, callId);
 			vm.run(5);
--- a/src/node/api/resource-routes.ts
+++ b/src/node/api/resource-routes.ts
@@ -1,4 +1,4 @@
-/** Routes for the declared resources: list, get, create, replace, delete, apply together, watch, history. */
+/** Routes for declared resources: list, get, create, replace, delete, apply a change of several resources, watch, history. */
 import {type Context, Hono} from 'hono';
 import {err, ok, Result} from 'neverthrow';
 import {Maybe} from 'true-myth/maybe';
@@ -15,30 +15,30 @@
 	type ApiEnvironment,
 } from './request-input.ts';
 import {
-	changeRequestSchema, mostListed, resourceKeySchema, resourceKindSchema,
+	changeRequestSchema, maxListedResources, resourceKeySchema, resourceKindSchema,
 	type ChangeAccepted, type ChangeRequest, type Mutation, type OperatorGateway, type Problem, type ResourceList, type ResourcesInForce,
 } from './types.ts';
 
 type ApiContext = Context<ApiEnvironment>;
 
-/** Longest wait of one watch: short enough that a silent connection is noticed. */
-const longestWatchMilliseconds = 60_000;
-const usualWatchMilliseconds = 25_000;
-const longestHistory = 1000;
-const usualHistory = 20;
+/** Maximum duration of a watch request; short enough to detect a broken connection. */
+const maxWatchMilliseconds = 60_000;
+const defaultWatchMilliseconds = 25_000;
+const maxHistoryRecords = 1000;
+const defaultHistoryRecords = 20;
 
-/** Most keys looked up at once: their query fits the usual limit of a request's head. */
-const mostKeys = 50;
+/** Maximum number of keys in one request; their query fits into the usual limit of a request head. */
+const maxKeys = 50;
 
 const listQuerySchema = z.strictObject({
 	kind: resourceKindSchema.optional(),
 	service: nameSchema.optional(),
 	after: z.string().max(128).default(''),
-	key: z.array(resourceKeySchema).max(mostKeys).default([]),
+	key: z.array(resourceKeySchema).max(maxKeys).default([]),
 });
 type ListQuery = z.infer<typeof listQuerySchema>;
 
-/** The routes under `/v1` that concern resources. */
+/** Creates the routes under `/v1` for resources. */
 export function resourceRoutes(gateway: OperatorGateway): Hono<ApiEnvironment> {
 	const routes = new Hono<ApiEnvironment>();
 	routes.get('/resources', context => listResources(gateway, context));
@@ -46,7 +46,7 @@
 	routes.get('/resources/:kind/:name', context => getResource(gateway, context));
 	routes.put('/resources/:kind/:name', async context => replaceResource(gateway, context));
 	routes.delete('/resources/:kind/:name', async context => deleteResource(gateway, context));
-	routes.post('/changes', async context => applyTogether(gateway, context));
+	routes.post('/changes', async context => applyChange(gateway, context));
 	routes.get('/operations/:operation', context => {
 		const state = gateway.operation(context.req.param('operation'));
 		return state.match(value => context.json(value), cause => problemResponse(gatewayProblem(cause)));
@@ -57,7 +57,7 @@
 }
 
 function listResources(gateway: OperatorGateway, context: ApiContext): Response {
-	return readNumber(context, 'limit', mostListed, mostListed)
+	return readNumber(context, 'limit', maxListedResources, maxListedResources)
 		.andThen(limit => checkInput(listQuerySchema, {
 			kind: context.req.query('kind'),
 			service: context.req.query('service'),
@@ -70,7 +70,7 @@
 		.match(list => context.json(list), problemResponse);
 }
 
-/** One page, so that a large configuration never holds up the VM's calls while it is written out. */
+/** Returns one page of the resources. Pages are limited so that serialising a large configuration does not delay the VM's calls. */
 function pageOf(inForce: ResourcesInForce, query: ListQuery, limit: number): ResourceList {
 	const matching = inForce.items.filter(({resource}) => resourceKey(resource) > query.after && (query.service === undefined || serviceOf(resource) === query.service));
 	const items = matching.slice(0, limit);
@@ -79,7 +79,7 @@
 	return {version: inForce.version, items, next: isLastPage ? null : resourceKey(last.resource)};
 }
 
-/** Those of the keys that are in force. */
+/** Returns the resources in force with the given keys. */
 function lookUp(gateway: OperatorGateway, version: number, keys: readonly ResourceKey[]): ResourceList {
 	const items = keys.flatMap(key => gateway.get(key).unwrapOr(Maybe.nothing<StoredResource>()).match({Just: stored => [stored], Nothing: () => []}));
 	return {version, items, next: null};
@@ -116,7 +116,7 @@
 	const body = await readBody(context, resourceSchema);
 	const {expected} = precondition.value;
 	const request = readKey(context)
-		.andThen(key => body.andThen(resource => resourceKey(resource) === key ? ok(resource) : err(nameDiffers(key, resourceKey(resource)))))
+		.andThen(key => body.andThen(resource => resourceKey(resource) === key ? ok(resource) : err(nameMismatch(key, resourceKey(resource)))))
 		.andThen(resource => requestOf(context, {type: 'put', resource, expected}));
 	return sendChange(gateway, context, request, {isCreation: expected === 0, hasPrecondition: true});
 }
@@ -128,12 +128,12 @@
 	return sendChange(gateway, context, request, {isCreation: false, hasPrecondition: true});
 }
 
-async function applyTogether(gateway: OperatorGateway, context: ApiContext): Promise<Response> {
+async function applyChange(gateway: OperatorGateway, context: ApiContext): Promise<Response> {
 	const body = await readBody(context, changeRequestSchema);
 	return sendChange(gateway, context, body, {isCreation: false, hasPrecondition: false});
 }
 
-/** One resource's change as a request; the identity comes from the client, so that a repetition is recognised. */
+/** Creates the change request for one resource; its identity comes from the client, so that a repeated request is recognised. */
 function requestOf(context: ApiContext, mutation: Mutation): Result<ChangeRequest, Problem> {
 	return readOperation(context).andThen(operation => checkInput(changeRequestSchema, {
 		operation,
@@ -163,7 +163,7 @@
 async function watch(gateway: OperatorGateway, context: ApiContext): Promise<Response> {
 	const query = Result.combine([
 		readNumber(context, 'after', 0, Number.MAX_SAFE_INTEGER),
-		readNumber(context, 'milliseconds', usualWatchMilliseconds, longestWatchMilliseconds),
+		readNumber(context, 'milliseconds', defaultWatchMilliseconds, maxWatchMilliseconds),
 	]);
 	if (query.isErr()) {
 		return problemResponse(query.error);
@@ -175,16 +175,16 @@
 }
 
 function history(gateway: OperatorGateway, context: ApiContext): Response {
-	return readNumber(context, 'limit', usualHistory, longestHistory)
+	return readNumber(context, 'limit', defaultHistoryRecords, maxHistoryRecords)
 		.andThen(limit => gateway.history(limit).mapErr(cause => gatewayProblem(cause)))
 		.match(records => context.json({records}), problemResponse);
 }
 
-/** RFC 9110, 8.8.3: a strong validator, made of the version of the resource's latest change. */
+/** Strong validator (RFC 9110, 8.8.3) from the version of the resource's latest change. */
 function entityTag(version: number): string {
 	return `"${version}"`;
 }
 
-function nameDiffers(expected: ResourceKey, found: ResourceKey): Problem {
+function nameMismatch(expected: ResourceKey, found: ResourceKey): Problem {
 	return invalidInput([failure('not-allowed', `found ${found}; allowed: ${expected}, as in the path`, {field: 'name'})]);
 }
--- a/src/node/fleet/feed-client.ts
+++ b/src/node/fleet/feed-client.ts
@@ -1,4 +1,4 @@
-/** Takes the registry feed of one VM at a time, and tells it who this one is. */
+/** Subscribes to the registry feed of one other VM at a time and sends this VM's announcements to it. */
 import {Readable} from 'node:stream';
 import {Client, type Dispatcher} from 'undici';
 import {describeFailure} from '../../common/errors/failure.ts';
@@ -11,23 +11,23 @@
 import {LineReader} from './line-reader.ts';
 import {decodeFrame, encodeAnnouncement, feedPath} from './feed-frame.ts';
 
-/** A way to another data centre and back is 3 ms; longer, and another VM is tried. */
-const connectMilliseconds: Milliseconds = 300;
+/** Connect time-out; a round trip to another data centre takes 3 ms. After a time-out another VM is tried. */
+const connectTimeoutMilliseconds: Milliseconds = 300;
 
-/** Characters of a line that has not ended: beyond it, this is no VM of ours. */
-const longestLine = 16_777_216;
+/** Maximum length of an incomplete line, in characters; a longer one does not come from a VM of this fleet. */
+const maxLineCharacters = 16_777_216;
 
-/** Time for the last announcement to leave before its connection ends. */
-const farewellMilliseconds: Milliseconds = 100;
+/** Delay before the connection is destroyed, so that the last announcement is sent. */
+const closeDelayMilliseconds: Milliseconds = 100;
 
 type FeedSink = EventSink<Extract<FleetEvent, {type: 'feed-frame' | 'feed-closed'}>>;
 
 export class FeedClient extends Disposable {
 	private readonly _sink: FeedSink;
 	private readonly _logger: Logger;
-	private readonly _listening = this._register(new MutableDisposable());
-	/** Body of the question that is under way: what is announced goes there. */
-	private _words: Readable | undefined;
+	private readonly _subscription = this._register(new MutableDisposable());
+	/** Body of the current request; announcements are written to it. */
+	private _announcements: Readable | undefined;
 
 	constructor(sink: FeedSink, logger: Logger) {
 		super();
@@ -35,56 +35,56 @@
 		this._logger = logger;
 	}
 
-	/** Listens to this VM from now on, and to no other; undefined = to none. */
+	/** Subscribes to the feed of this VM and ends any other subscription; undefined = no subscription. */
 	follow(source: PeerAddress | undefined): void {
-		this._words = undefined;
+		this._announcements = undefined;
 		if (source === undefined) {
-			this._listening.value = undefined;
+			this._subscription.value = undefined;
 			return;
 		}
 
 		const client = new Client(`http://${source}`, {
-			connect: {timeout: connectMilliseconds}, headersTimeout: 0, bodyTimeout: 0, allowH2: false,
+			connect: {timeout: connectTimeoutMilliseconds}, headersTimeout: 0, bodyTimeout: 0, allowH2: false,
 		});
-		const listener = new FrameHandler(source, this._sink, this._logger);
-		const words = new Readable({
+		const handler = new FrameHandler(source, this._sink, this._logger);
+		const announcements = new Readable({
 			read() {
-				// Lines are pushed as they are announced.
+				// Lines are pushed by `announce`.
 			},
 		});
-		words.on('error', () => {
-			// The connection has ended, which the listener tells.
+		announcements.on('error', () => {
+			// The connection has ended; the response handler reports it.
 		});
-		// The question leaves with the first bytes of its body: without any, nothing would be asked.
-		words.push('\n');
-		this._words = words;
-		this._listening.value = toDisposable(() => {
-			listener.isOver = true;
-			// What was announced last goes out before the end.
-			words.push(null);
+		// undici sends the request with the first bytes of its body.
+		announcements.push('\n');
+		this._announcements = announcements;
+		this._subscription.value = toDisposable(() => {
+			handler.isEnded = true;
+			// Send the last announcement before the connection ends.
+			announcements.push(null);
 			setTimeout(() => {
 				void client.destroy();
-			}, farewellMilliseconds).unref();
+			}, closeDelayMilliseconds).unref();
 		});
 		client.dispatch({
-			method: 'POST', path: feedPath, body: words, headers: ['content-type', 'application/x-ndjson'],
-		}, listener);
+			method: 'POST', path: feedPath, body: announcements, headers: ['content-type', 'application/x-ndjson'],
+		}, handler);
 	}
 
-	/** Tells the VM that is followed who this one is; nothing where none is. */
+	/** Sends an announcement of this VM to the VM whose feed is subscribed; does nothing without a subscription. */
 	announce(announcement: MemberAnnouncement): void {
-		this._words?.push(encodeAnnouncement(announcement));
+		this._announcements?.push(encodeAnnouncement(announcement));
 	}
 }
 
-/** One feed, as an undici dispatch handler. */
+/** undici dispatch handler that reads the frames of one feed. */
 class FrameHandler implements Dispatcher.DispatchHandler {
-	/** Nobody wants it any more: what still comes is left out, its end too. */
-	isOver = false;
+	/** The subscription has ended; later frames and the end of the response are ignored. */
+	isEnded = false;
 	private readonly _source: PeerAddress;
 	private readonly _sink: FeedSink;
 	private readonly _logger: Logger;
-	private readonly _lines = new LineReader(longestLine);
+	private readonly _lines = new LineReader(maxLineCharacters);
 
 	constructor(source: PeerAddress, sink: FeedSink, logger: Logger) {
 		this._source = source;
@@ -93,18 +93,18 @@
 	}
 
 	onRequestStart(): void {
-		// Nothing to keep: the stream is ended by destroying its client.
+		// The controller is not needed: destroying the client ends the stream.
 	}
 
 	onResponseData(controller: Dispatcher.DispatchController, chunk: Uint8Array): void {
-		const lines = this._lines.take(chunk);
+		const lines = this._lines.read(chunk);
 		if (lines === undefined) {
 			controller.abort(new FrameTooLong());
 			return;
 		}
 
 		for (const line of lines) {
-			this._take(line);
+			this._handleLine(line);
 		}
 	}
 
@@ -116,14 +116,14 @@
 		this._end();
 	}
 
-	private _take(line: string): void {
-		if (this.isOver) {
+	private _handleLine(line: string): void {
+		if (this.isEnded) {
 			return;
 		}
 
 		const frame = decodeFrame(line);
 		if (frame.isErr()) {
-			this._logger.warn('a frame of the registry feed that cannot be read was left out', {source: this._source, failure: describeFailure(frame.error)});
+			this._logger.warn('registry feed closed: a frame could not be read', {source: this._source, failure: describeFailure(frame.error)});
 			this._end();
 			return;
 		}
@@ -132,14 +132,14 @@
 	}
 
 	private _end(): void {
-		if (!this.isOver) {
-			this.isOver = true;
+		if (!this.isEnded) {
+			this.isEnded = true;
 			this._sink.feed({type: 'feed-closed', source: this._source});
 		}
 	}
 }
 
-/** A frame that does not end. */
+/** An incomplete frame exceeds the maximum length. */
 class FrameTooLong extends Error {
 	override readonly name = 'FrameTooLong';
 }
--- a/src/node/fleet/fleet-carrier.ts
+++ b/src/node/fleet/fleet-carrier.ts
@@ -1,4 +1,4 @@
-/** Carries out what the fleet engine decides: requests to the platform, messages between VMs, answers to operators. */
+/** Executes the effects of the fleet engine: requests to the platform, messages between VMs, answers to operators. */
 import {type OuterFleetEffect} from '../../common/entry-vm/types.ts';
 import {
 	type FleetEvent, type FleetStage, type OperatorAnswer, type OperatorChange,
@@ -10,30 +10,30 @@
 import {type EventSink} from '../decider-loop.ts';
 import {type PeerTransport, type PlatformClient} from './types.ts';
 
-/** Effects that concern the front or the logs. */
+/** Effects that the daemon passes to the front or the logs. */
 export type OutwardEffect = Exclude<OuterFleetEffect, {type: 'store' | 'send' | 'operator-answer' | 'follow-feed' | 'publish-feed' | 'announce' | 'probe-vm'}>;
 
-type OuterFleetEvent = Extract<FleetEvent, {type: 'started' | 'store-replied' | 'peer-message' | 'peer-unreachable' | 'vm-list' | 'operator-change' | 'operator-drain'}>;
+type FleetSinkEvent = Extract<FleetEvent, {type: 'started' | 'store-replied' | 'peer-message' | 'peer-unreachable' | 'vm-list' | 'operator-change' | 'operator-drain'}>;
 
-/** The fleet engine's hands. */
+/** Executes fleet effects and feeds the results back to the engine. */
 export class FleetCarrier extends Disposable {
-	private readonly _sink: EventSink<OuterFleetEvent>;
+	private readonly _sink: EventSink<FleetSinkEvent>;
 	private readonly _clock: Clock;
 	private readonly _platform: PlatformClient;
 	private readonly _peers: PeerTransport;
 	private readonly _waitingOperators = new Map<number, (answer: OperatorAnswer) => void>();
-	private readonly _listTimer = this._register(new MutableDisposable<DisposableLike>());
+	private readonly _vmListTimer = this._register(new MutableDisposable<DisposableLike>());
 	private readonly _onEffect = this._register(new Emitter<OutwardEffect>());
 	private readonly _onStage = this._register(new Emitter<FleetStage>());
 	private _lastRequestId = 0;
 	private _isDisposed = false;
 
-	/** Something for the front or the logs. */
+	/** Fires for each effect that the daemon handles. */
 	readonly onEffect = this._onEffect.event;
-	/** The VM has come to another stage of its life. */
+	/** Fires when the VM enters another stage of its lifecycle. */
 	readonly onStage = this._onStage.event;
 
-	constructor(sink: EventSink<OuterFleetEvent>, clock: Clock, platform: PlatformClient, peers: PeerTransport) {
+	constructor(sink: EventSink<FleetSinkEvent>, clock: Clock, platform: PlatformClient, peers: PeerTransport) {
 		super();
 		this._sink = sink;
 		this._clock = clock;
@@ -47,10 +47,10 @@
 		}));
 	}
 
-	/** Starts the engine and the reading of the platform's list of VMs. */
-	start(listEveryMilliseconds: Milliseconds): void {
+	/** Starts the engine and reads the platform's list of VMs at the given interval. */
+	start(listIntervalMilliseconds: Milliseconds): void {
 		this._sink.feed({type: 'started'});
-		void this._readList(listEveryMilliseconds);
+		void this._readVmList(listIntervalMilliseconds);
 	}
 
 	override dispose(): void {
@@ -58,7 +58,7 @@
 		super.dispose();
 	}
 
-	/** An operator's change; resolves with what became of it. */
+	/** Submits an operator's change; resolves with its outcome. */
 	async change(change: OperatorChange): Promise<OperatorAnswer> {
 		this._lastRequestId += 1;
 		const requestId = this._lastRequestId;
@@ -68,16 +68,15 @@
 		});
 	}
 
-	/** An operator orders a VM to stop in the planned way. */
+	/** Drains a VM by order of an operator. */
 	drain(identity: string): void {
 		this._sink.feed({type: 'operator-drain', identity});
 	}
 
-	/** Carries out one effect of the fleet engine. */
 	carryOut(effect: OuterFleetEffect): void {
 		switch (effect.type) {
 			case 'store': {
-				void this._ask(effect);
+				void this._executeStoreOperation(effect);
 				break;
 			}
 
@@ -96,7 +95,7 @@
 			case 'probe-vm':
 			case 'follow-feed':
 			case 'publish-feed': {
-				// A fleet that leads itself has messages of its own for this.
+				// Only a fleet that is coordinated through the store uses these; here VMs exchange peer messages instead.
 				break;
 			}
 
@@ -112,12 +111,12 @@
 		}
 	}
 
-	private async _ask(effect: OuterFleetEffect & {type: 'store'}): Promise<void> {
+	private async _executeStoreOperation(effect: OuterFleetEffect & {type: 'store'}): Promise<void> {
 		const reply = await this._platform.execute(effect.operation);
 		this._sink.feed({type: 'store-replied', requestId: effect.requestId, reply});
 	}
 
-	private async _readList(every: Milliseconds): Promise<void> {
+	private async _readVmList(intervalMilliseconds: Milliseconds): Promise<void> {
 		const vms = await this._platform.listVms();
 		if (this._isDisposed) {
 			return;
@@ -127,8 +126,8 @@
 			this._sink.feed({type: 'vm-list', vms});
 		}
 
-		this._listTimer.value = this._clock.after(every, () => {
-			void this._readList(every);
+		this._vmListTimer.value = this._clock.after(intervalMilliseconds, () => {
+			void this._readVmList(intervalMilliseconds);
 		});
 	}
 }
--- a/src/node/fleet/store-carrier.ts
+++ b/src/node/fleet/store-carrier.ts
@@ -1,4 +1,4 @@
-/** Carries out what the decider of a store-led fleet asks for: requests to the store; the rest goes to the daemon. */
+/** Executes the store requests of a fleet that is coordinated through the store and passes all other effects to the daemon. */
 import {type OuterFleetEffect} from '../../common/entry-vm/types.ts';
 import {type FleetEvent} from '../../common/fleet/types.ts';
 import {Disposable} from '../../common/lifecycle/disposable.ts';
@@ -14,7 +14,7 @@
 	private readonly _client: Pick<PlatformClient, 'execute'>;
 	private readonly _onEffect = this._register(new Emitter<OutwardEffect>());
 
-	/** Something for the front or the logs. */
+	/** Fires for each effect that the daemon handles. */
 	readonly onEffect = this._onEffect.event;
 
 	constructor(sink: StoreCarrier['_sink'], store: Pick<PlatformClient, 'execute'>) {
@@ -25,13 +25,13 @@
 
 	carryOut(effect: OutwardEffect | (OuterFleetEffect & {type: 'store' | 'send' | 'operator-answer'})): void {
 		if (effect.type === 'store') {
-			void this._ask(effect);
+			void this._executeStoreOperation(effect);
 		} else if (effect.type !== 'send' && effect.type !== 'operator-answer') {
 			this._onEffect.fire(effect);
 		}
 	}
 
-	private async _ask({requestId, operation}: OuterFleetEffect & {type: 'store'}): Promise<void> {
+	private async _executeStoreOperation({requestId, operation}: OuterFleetEffect & {type: 'store'}): Promise<void> {
 		const reply = await this._client.execute(operation);
 		this._sink.feed({type: 'store-replied', requestId, reply});
 	}
--- a/src/node/metrics/counted-parts.ts
+++ b/src/node/metrics/counted-parts.ts
@@ -1,4 +1,4 @@
-/** Wraps parts so that what passes through them is counted. */
+/** Wrappers of clients that count their requests in the metrics. */
 import {type CallEffect} from '../../common/calls/types.ts';
 import {type StoreOperation, type StoreReply} from '../../common/platform/types.ts';
 import {type Clock} from '../clock.ts';
@@ -7,7 +7,7 @@
 import {type CallEventSink} from '../front/types.ts';
 import {type Metrics} from './types.ts';
 
-/** Counts requests to the platform's service, each with its reply and time. */
+/** Counts requests to the platform's service by operation and reply, and records their duration. */
 export class CountedPlatformClient implements PlatformClient {
 	private readonly _client: PlatformClient;
 	private readonly _clock: Clock;
@@ -20,32 +20,32 @@
 	}
 
 	async execute(operation: StoreOperation): Promise<StoreReply> {
-		const begin = this._clock.now();
+		const startedAt = this._clock.now();
 		const reply = await this._client.execute(operation);
-		this._metrics.platformCalled(operation.type, reply.type, this._clock.now() - begin);
+		this._metrics.platformCalled(operation.type, reply.type, this._clock.now() - startedAt);
 		return reply;
 	}
 
 	async listVms(): ReturnType<PlatformClient['listVms']> {
-		const begin = this._clock.now();
+		const startedAt = this._clock.now();
 		const vms = await this._client.listVms();
-		this._metrics.platformCalled('list-vms', vms === undefined ? 'unavailable' : 'entries', this._clock.now() - begin);
+		this._metrics.platformCalled('list-vms', vms === undefined ? 'unavailable' : 'entries', this._clock.now() - startedAt);
 		return vms;
 	}
 }
 
-/** Counts measuring calls by service. */
+/** Counts load probes by service. */
 export class CountedMeasurer implements LoadProbeClient {
-	private readonly _measurer: LoadProbeClient;
+	private readonly _client: LoadProbeClient;
 	private readonly _metrics: Metrics;
 
-	constructor(measurer: LoadProbeClient, metrics: Metrics) {
-		this._measurer = measurer;
+	constructor(client: LoadProbeClient, metrics: Metrics) {
+		this._client = client;
 		this._metrics = metrics;
 	}
 
 	probe(effect: CallEffect & {type: 'measure'}, sink: CallEventSink): void {
-		this._metrics.measured(effect.service);
-		this._measurer.probe(effect, sink);
+		this._metrics.loadProbeSent(effect.service);
+		this._client.probe(effect, sink);
 	}
 }
--- a/src/node/metrics/page-metrics.ts
+++ b/src/node/metrics/page-metrics.ts
@@ -1,6 +1,6 @@
 /**
- * Counters and histograms as a page of text in the Prometheus format, for operators who fetch metrics instead of
- * receiving them. Its memory is bounded: times fall into fixed bounds, and labels are those of declared services.
+ * Counters and histograms as a page in the Prometheus text format, for operators who pull metrics instead of receiving
+ * them. Memory is bounded: histograms have fixed buckets, and the label values are declared services.
  */
 import {
 	Counter, Gauge, Histogram, Registry,
@@ -9,7 +9,7 @@
 import {type Milliseconds} from '../../common/model/units.ts';
 import {type Metrics, type VmGauges} from './types.ts';
 
-/** Upper bounds in milliseconds: steps of about two around the objectives, 50 ms to 10 s. */
+/** Upper bounds of the histogram buckets in milliseconds, from 50 ms to 10 s in steps of a factor of about two or less; narrower around the usual objectives. */
 const buckets: Milliseconds[] = [50, 100, 150, 200, 300, 400, 600, 800, 1200, 2500, 5000, 10_000];
 
 export class PageMetrics implements Metrics {
@@ -22,7 +22,7 @@
 	private readonly _unreadableLimits = this._counter('jaydale_unreadable_rate_limits_total', 'Backend servers that began to name a rate limit which cannot be read.', ['service']);
 	private readonly _withheld = this._counter('jaydale_rate_limit_withheld_total', 'Calls kept from a backend server by its rate limit.', ['service']);
 	private readonly _rejectedConfigurations = this._counter('jaydale_rejected_configurations_total', 'Configurations that could not be read.', ['route']);
-	private readonly _measurings = this._counter('jaydale_measuring_calls_total', 'Calls made to learn a load.', ['service']);
+	private readonly _loadProbes = this._counter('jaydale_measuring_calls_total', 'Calls made to learn a load.', ['service']);
 	private readonly _storeCalls = this._counter('jaydale_store_calls_total', 'Requests to the store.', ['operation', 'reply']);
 	private readonly _peerBytes = this._counter('jaydale_peer_bytes_total', 'Bytes between VMs.', ['direction']);
 	private readonly _operatorAnswers = this._counter('jaydale_operator_answers_total', 'Answers to operators.', ['method', 'status']);
@@ -64,8 +64,8 @@
 		this._rejectedConfigurations.inc({route: route ?? ''});
 	}
 
-	measured(service: string): void {
-		this._measurings.inc({service});
+	loadProbeSent(service: string): void {
+		this._loadProbes.inc({service});
 	}
 
 	platformCalled(operation: string, reply: string, milliseconds: Milliseconds): void {
@@ -89,7 +89,7 @@
 		}
 	}
 
-	/** The whole page. */
+	/** Returns the page in the Prometheus text format. */
 	async text(): Promise<string> {
 		return this._registry.metrics();
 	}
--- a/src/node/peers/burn-exchange.ts
+++ b/src/node/peers/burn-exchange.ts
@@ -1,4 +1,4 @@
-/** Gathers the counts of all VMs, and leaves copies of this one's with others. */
+/** Collects the burn counts of all VMs and stores copies of this VM's counts on other VMs. */
 import {type sendUnaryData, type ServerUnaryCall, status} from '@grpc/grpc-js';
 import {type BurnCopies} from '../../common/burn/burn-copies.ts';
 import {type ProcessCounts} from '../../common/burn/types.ts';
@@ -7,36 +7,37 @@
 import {type Milliseconds} from '../../common/model/units.ts';
 import {type Clock} from '../clock.ts';
 import {
-	countsFromWire, countsToWire, type Told, toldFromWire,
+	countsFromWire, countsToWire, type CountsReport, toldFromWire,
 } from './burn-codec.ts';
 import {type GrpcPeerTransport} from './grpc-peer-transport.ts';
 import {loadService, type UntypedService} from './proto-file.ts';
 
-/** A copy lies with this many other VMs: one may go together with its owner. */
-const copyHolders = 2;
+/** Number of other VMs that store a copy of this VM's counts. More than one, because one of them may fail together with this VM. */
+const copyCount = 2;
 
-/** What a crash loses at most of the counts. */
-const copyEvery: Milliseconds = 30_000;
+/** Interval between copies, and thus the maximum time of counts that a crash loses. */
+const copyIntervalMilliseconds: Milliseconds = 30_000;
 
-/** What the other VMs answered. */
+/** Answers of the other VMs. */
 export type GatheredCounts = {
 	readonly told: readonly ProcessCounts[];
 	readonly copies: readonly ProcessCounts[];
 	readonly answered: readonly PeerAddress[];
+	/** VMs that did not answer in time. */
 	readonly silent: readonly PeerAddress[];
 };
 
-/** What the exchange works with. */
+/** Dependencies of the exchange. */
 export type BurnExchangeParts = {
 	readonly transport: GrpcPeerTransport;
 	readonly clock: Clock;
 	readonly copies: BurnCopies;
 	readonly own: () => ProcessCounts;
-	/** Other VMs that serve, in an order of their own that is stable for this VM. */
+	/** Returns the other serving VMs, in an order that is stable on this VM; the first ones store its copies. */
 	readonly peers: () => readonly PeerAddress[];
 };
 
-/** One VM's side of the exchange. */
+/** Exchanges burn counts with the other VMs over gRPC. */
 export class BurnExchange extends Disposable {
 	private readonly _parts: BurnExchangeParts;
 	private readonly _service: UntypedService = loadService('burn.proto', 'jaydale.burn.v1.Burn');
@@ -56,36 +57,36 @@
 		});
 	}
 
-	/** Asks all other VMs at once; one that does not answer in time is named. */
+	/** Requests the counts of all other VMs concurrently. VMs that do not answer in time are listed in `silent`. */
 	async gather(): Promise<GatheredCounts> {
 		const peers = this._parts.peers();
-		const answers = await Promise.all(peers.map(async address => ({address, told: await this._ask(address)})));
-		const heard = answers.flatMap(({told}) => told === undefined ? [] : [told]);
+		const answers = await Promise.all(peers.map(async address => ({address, told: await this._requestCounts(address)})));
+		const received = answers.flatMap(({told}) => told === undefined ? [] : [told]);
 		return {
-			told: heard.map(({own}) => own),
-			copies: [...heard.flatMap(({copies}) => copies), ...this._parts.copies.all(this._parts.clock.now())],
+			told: received.map(({own}) => own),
+			copies: [...received.flatMap(({copies}) => copies), ...this._parts.copies.all(this._parts.clock.now())],
 			answered: answers.filter(({told}) => told !== undefined).map(({address}) => address),
 			silent: answers.filter(({told}) => told === undefined).map(({address}) => address),
 		};
 	}
 
-	/** Leaves copies with other VMs from now on. */
+	/** Starts to send copies to other VMs periodically. */
 	start(): void {
-		this._timer.value = this._parts.clock.after(copyEvery, () => {
+		this._timer.value = this._parts.clock.after(copyIntervalMilliseconds, () => {
 			void this.leaveCopies();
 			this.start();
 		});
 	}
 
-	/** Leaves a copy of the present counts; also the last act of a planned stop. */
+	/** Sends a copy of the current counts to other VMs; also the last step of a planned stop. */
 	async leaveCopies(): Promise<void> {
 		const counts = countsToWire(this._parts.own());
-		const holders = this._parts.peers().slice(0, copyHolders);
-		await Promise.all(holders.map(async address => this._parts.transport.ask(address, this._service.Keep!, counts)));
+		const receivers = this._parts.peers().slice(0, copyCount);
+		await Promise.all(receivers.map(async address => this._parts.transport.request(address, this._service.Keep!, counts)));
 	}
 
-	private async _ask(address: PeerAddress): Promise<Told | undefined> {
-		const answer = await this._parts.transport.ask(address, this._service.Tell!, {});
+	private async _requestCounts(address: PeerAddress): Promise<CountsReport | undefined> {
+		const answer = await this._parts.transport.request(address, this._service.Tell!, {});
 		const told = answer.andThen(message => toldFromWire(message));
 		return told.isOk() ? told.value : undefined;
 	}
--- a/src/node/peers/grpc-peer-transport.ts
+++ b/src/node/peers/grpc-peer-transport.ts
@@ -1,4 +1,4 @@
-/** Messages between VMs over gRPC: one unary call each way, so that every message has a deadline of its own. */
+/** Transport of messages between VMs over gRPC. Each message is a unary call, so that it has its own deadline. */
 import {
 	Client, type MethodDefinition, Server, type ServiceDefinition, status, type sendUnaryData, type ServerUnaryCall, type UntypedServiceImplementation,
 } from '@grpc/grpc-js';
@@ -17,13 +17,13 @@
 
 export type PeerTransportFailureKind = 'cannot-listen' | PeerCredentialsFailureKind;
 
-/** What went wrong between this VM and another. */
-export type PeerTrouble = {
+/** A failure in the communication with another VM, or in this VM's own certificate. */
+export type PeerFailure = {
 	readonly address: PeerAddress;
 	readonly failure: Failure<PeerCredentialsFailureKind | 'malformed-message' | 'unreachable'>;
 };
 
-/** Bytes and messages since the start; gRPC's own framing and headers are not in them. */
+/** Messages and bytes since the start, without gRPC's framing and headers. */
 export type PeerTraffic = {
 	readonly messagesOut: number;
 	readonly bytesOut: number;
@@ -31,23 +31,23 @@
 	readonly bytesIn: number;
 };
 
-/** A message not taken within this time counts as undeliverable: it is far above any round trip of today's. */
+/** Deadline of a message, after which it counts as undeliverable; far above the round-trip times between VMs. */
 const deadlineMilliseconds = 1000;
 
-/** A connection to a VM not spoken to for so long is closed: at the target size nobody keeps one to everybody. */
-const idleMilliseconds = 60_000;
+/** Idle time after which a connection is closed; in the largest supported fleet no VM keeps connections to all others. */
+const idleTimeoutMilliseconds = 60_000;
 
-/** How often the own certificate is looked at. */
-const fileCheckMilliseconds = 60_000;
+/** Interval between checks of this VM's own certificate. */
+const fileCheckIntervalMilliseconds = 60_000;
 
-/** Largest message: a page of resources or a list of changes with room to spare. */
-const messageBytes = 4 * 1024 * 1024;
+/** Maximum size of a message; pages of resources and lists of changes are well below it. */
+const maxMessageBytes = 4 * 1024 * 1024;
 
 const clientOptions = {
 	'grpc.initial_reconnect_backoff_ms': 100,
 	'grpc.max_reconnect_backoff_ms': 1000,
-	'grpc.max_receive_message_length': messageBytes,
-	// Each address its own pool, so that closing a silent connection really opens a new one.
+	'grpc.max_receive_message_length': maxMessageBytes,
+	// Without a pool per client, a new client would reuse the silent connection that was just closed.
 	'grpc.use_local_subchannel_pool': 1,
 };
 
@@ -55,22 +55,22 @@
 
 type DeliverMethod = MethodDefinition<WireMessage, WireMessage>;
 
-/** IP number of `IP:PORT`, without the brackets of IPv6. */
+/** Returns the IP number of `IP:PORT`, without the brackets of IPv6. */
 function hostOf(address: PeerAddress): string {
 	return address.slice(0, address.lastIndexOf(':')).replaceAll(/[\[\]]/gv, '');
 }
 
-/** Services beside the messages, on the same listener. */
-type FurtherService = {readonly definition: ServiceDefinition; readonly implementation: UntypedServiceImplementation};
+/** An additional gRPC service on the same listener. */
+type AdditionalService = {readonly definition: ServiceDefinition; readonly implementation: UntypedServiceImplementation};
 
 export class GrpcPeerTransport extends Disposable implements PeerTransport {
 	private readonly _onMessage = this._register(new Emitter<PeerMessage>());
 	private readonly _onUnreachable = this._register(new Emitter<PeerAddress>());
-	private readonly _onTrouble = this._register(new Emitter<PeerTrouble>());
+	private readonly _onFailure = this._register(new Emitter<PeerFailure>());
 	private readonly _peers = new Map<PeerAddress, Peer>();
 	private readonly _clients = this._register(new DisposableStore());
 	private readonly _deliver: DeliverMethod;
-	private readonly _further: FurtherService[] = [];
+	private readonly _additionalServices: AdditionalService[] = [];
 	private _messagesOut = 0;
 	private _bytesOut = 0;
 	private _messagesIn = 0;
@@ -78,8 +78,8 @@
 
 	readonly onMessage = this._onMessage.event;
 	readonly onUnreachable = this._onUnreachable.event;
-	/** For logs and metrics. */
-	readonly onTrouble = this._onTrouble.event;
+	/** Fires for each failure, for logs and metrics. */
+	readonly onTrouble = this._onFailure.event;
 
 	/** @param _listenAddress `IP:PORT` to listen on; port 0 takes a free one */
 	constructor(
@@ -91,21 +91,20 @@
 		this._deliver = loadService('peers.proto', 'jaydale.peers.v1.Peers').Deliver!;
 	}
 
-	/** Traffic counted since the start. */
 	get traffic(): PeerTraffic {
 		return {
 			messagesOut: this._messagesOut, bytesOut: this._bytesOut, messagesIn: this._messagesIn, bytesIn: this._bytesIn,
 		};
 	}
 
-	/** Serves further methods on the same listener; to be called before `listen`. */
+	/** Adds a gRPC service to the listener; must be called before `listen`. */
 	addService(definition: ServiceDefinition, implementation: UntypedServiceImplementation): void {
-		this._further.push({definition, implementation});
+		this._additionalServices.push({definition, implementation});
 	}
 
-	/** Asks another VM and waits for its answer, at most for the time of a message. */
-	async ask(to: PeerAddress, method: UntypedMethod, request: object): Promise<Result<object, Failure<'unreachable'>>> {
-		const peer = this._peer(to);
+	/** Sends a request to another VM and resolves with its response; fails after the deadline of a message. */
+	async request(to: PeerAddress, method: UntypedMethod, request: object): Promise<Result<object, Failure<'unreachable'>>> {
+		const peer = this._peerFor(to);
 		return new Promise(resolve => {
 			const options = {deadline: Date.now() + deadlineMilliseconds};
 			peer.client.makeUnaryRequest(method.path, method.requestSerialize, method.responseDeserialize, request, options, (error, answer) => {
@@ -114,15 +113,15 @@
 		});
 	}
 
-	/** Opens the listener; answers with its port. */
+	/** Opens the listener; resolves with its port. */
 	async listen(): Promise<Result<number, Failure<PeerTransportFailureKind>>> {
 		const checked = this._credentials.check();
 		if (checked.isErr()) {
 			return err(checked.error);
 		}
 
-		this._checkFilesLater();
-		const server = new Server({'grpc.max_receive_message_length': messageBytes});
+		this._checkFilesPeriodically();
+		const server = new Server({'grpc.max_receive_message_length': maxMessageBytes});
 		this._register(toDisposable(() => {
 			server.forceShutdown();
 		}));
@@ -133,10 +132,10 @@
 
 		server.addService({Deliver: {...this._deliver, requestDeserialize}}, {
 			Deliver: (call: ServerUnaryCall<WireMessage, WireMessage>, answer: sendUnaryData<WireMessage>) => {
-				this._take(call, answer);
+				this._handleMessage(call, answer);
 			},
 		});
-		for (const {definition, implementation} of this._further) {
+		for (const {definition, implementation} of this._additionalServices) {
 			server.addService(definition, implementation);
 		}
 
@@ -156,29 +155,29 @@
 		};
 
 		this._messagesOut += 1;
-		const peer = this._peer(to);
+		const peer = this._peerFor(to);
 		const options = {deadline: Date.now() + deadlineMilliseconds};
 		peer.client.makeUnaryRequest(path, serialize, responseDeserialize, toWire(message), options, error => {
 			if (error && !this._store.isDisposed) {
-				this._takeError(to, peer, error);
+				this._handleError(to, peer, error);
 			}
 		});
 	}
 
-	/** A certificate runs out while the process runs: other VMs only drop the connection, so this one says why. */
-	private _checkFilesLater(): void {
+	/** Checks periodically whether the own certificate has expired, and reports it: other VMs only drop the connection. */
+	private _checkFilesPeriodically(): void {
 		const timer = setInterval(() => {
 			const checked = this._credentials.check();
 			if (checked.isErr()) {
-				this._onTrouble.fire({address: this._listenAddress, failure: checked.error});
+				this._onFailure.fire({address: this._listenAddress, failure: checked.error});
 			}
-		}, fileCheckMilliseconds);
+		}, fileCheckIntervalMilliseconds);
 		this._register(toDisposable(() => {
 			clearInterval(timer);
 		}));
 	}
 
-	private _peer(to: PeerAddress): Peer {
+	private _peerFor(to: PeerAddress): Peer {
 		const now = this._now();
 		this._closeIdle(now);
 		const known = this._peers.get(to);
@@ -210,31 +209,31 @@
 
 	private _closeIdle(now: number): void {
 		for (const [to, peer] of this._peers) {
-			if (now - peer.usedAt > idleMilliseconds) {
+			if (now - peer.usedAt > idleTimeoutMilliseconds) {
 				this._close(to, peer);
 			}
 		}
 	}
 
 	/**
-	 * Guard: a connection can go silent for good while new ones to the same VM work. It shows as a deadline that
-	 * passes without an error; the connection is given up, and the next message opens another. A dead VM costs
-	 * one attempt a message that way, and those are bounded by the probing.
+	 * Reports the failure, and closes the connection if the deadline passed without an error. A connection can stop
+	 * transferring data permanently while new connections to the same VM work; the next message then opens a new one. To a
+	 * dead VM every message opens a connection in vain, but the membership probes limit the number of such messages.
 	 */
-	private _takeError(to: PeerAddress, peer: Peer, error: {readonly code: number; readonly details: string}): void {
+	private _handleError(to: PeerAddress, peer: Peer, error: {readonly code: number; readonly details: string}): void {
 		if (error.code === Number(status.DEADLINE_EXCEEDED)) {
 			this._close(to, peer);
 		}
 
-		this._onTrouble.fire({address: to, failure: certificateFailure(error.details) ?? failure('unreachable', error.details)});
+		this._onFailure.fire({address: to, failure: certificateFailure(error.details) ?? failure('unreachable', error.details)});
 		this._onUnreachable.fire(to);
 	}
 
-	private _take(call: ServerUnaryCall<WireMessage, WireMessage>, answer: sendUnaryData<WireMessage>): void {
+	private _handleMessage(call: ServerUnaryCall<WireMessage, WireMessage>, answer: sendUnaryData<WireMessage>): void {
 		const message = fromWire(call.request);
 		this._messagesIn += 1;
 		if (message.isErr()) {
-			this._onTrouble.fire({address: call.getPeer(), failure: message.error});
+			this._onFailure.fire({address: call.getPeer(), failure: message.error});
 			answer({code: status.INVALID_ARGUMENT, details: message.error.message});
 			return;
 		}
--- a/src/node/peers/peer-codec.ts
+++ b/src/node/peers/peer-codec.ts
@@ -1,4 +1,4 @@
-/** Between the engine's messages and their protobuf form. What comes in is checked by the engine's schema. */
+/** Converts the fleet engine's messages to and from protobuf. Received messages are validated with the engine's schema. */
 import {err, ok, type Result} from 'neverthrow';
 import {z} from 'zod';
 import {failure, type Failure} from '../../common/errors/failure.ts';
@@ -6,10 +6,10 @@
 
 export type PeerCodecFailureKind = 'malformed-message';
 
-/** A message as the protobuf library takes and gives it. */
+/** A message as a plain object of the protobuf library. */
 export type WireMessage = Readonly<Record<string, unknown>>;
 
-/** Names of the bodies in the .proto file; `members` there is the list of rumours. */
+/** Field names of the bodies in the .proto file, where `members` is the list of membership rumours. */
 const bodyFields: Readonly<Record<PeerBody['type'], string>> = {
 	ping: 'ping',
 	'ping-answer': 'pingAnswer',
@@ -31,24 +31,24 @@
 const objectSchema = z.record(z.string(), z.unknown());
 const listSchema = z.array(objectSchema);
 
-function texts(values: readonly unknown[]): string[] {
+function toJsonTexts(values: readonly unknown[]): string[] {
 	return values.map(value => JSON.stringify(value));
 }
 
 function bodyToWire(body: PeerBody): WireMessage {
 	const {type, ...fields} = body;
 	if (body.type === 'changes') {
-		return {changes: {records: texts(body.records)}};
+		return {changes: {records: toJsonTexts(body.records)}};
 	}
 
 	if (body.type === 'snapshot-page') {
-		return {snapshotPage: {...fields, resources: texts(body.resources), records: texts(body.records)}};
+		return {snapshotPage: {...fields, resources: toJsonTexts(body.resources), records: toJsonTexts(body.records)}};
 	}
 
 	return {[bodyFields[type]]: fields};
 }
 
-/** The protobuf form of a message. */
+/** Converts a message to its protobuf form. */
 export function toWire(message: PeerMessage): WireMessage {
 	const {body, members, ...rest} = message;
 	return {
@@ -58,40 +58,40 @@
 	};
 }
 
-/** The library marks which optional field is set by a property of its own; those begin with an underscore. */
-function withoutMarks(value: unknown): Record<string, unknown> {
+/** Removes absent fields, and the library's properties that mark optional fields as set, which begin with an underscore. */
+function withoutPresenceFlags(value: unknown): Record<string, unknown> {
 	const parsed = objectSchema.safeParse(value);
 	return parsed.success ? Object.fromEntries(Object.entries(parsed.data).filter(([name, field]) => !name.startsWith('_') && field !== undefined && field !== null)) : {};
 }
 
-function parsedTexts(value: unknown): unknown[] {
+function parseJsonTexts(value: unknown): unknown[] {
 	return z.array(z.string()).parse(value).map((text): unknown => JSON.parse(text));
 }
 
 function bodyFromWire(wire: Record<string, unknown>): unknown {
 	const field = typeof wire.body === 'string' ? wire.body : '';
 	const type = bodyTypes.get(field);
-	const fields = withoutMarks(wire[field]);
+	const fields = withoutPresenceFlags(wire[field]);
 	if (type === 'changes') {
-		return {type, records: parsedTexts(fields.records)};
+		return {type, records: parseJsonTexts(fields.records)};
 	}
 
 	return type === 'snapshot-page'
 		? {
-			...fields, type, resources: parsedTexts(fields.resources), records: parsedTexts(fields.records),
+			...fields, type, resources: parseJsonTexts(fields.resources), records: parseJsonTexts(fields.records),
 		}
 		: {...fields, type};
 }
 
 function updateFromWire(value: Record<string, unknown>): unknown {
-	const update = withoutMarks(value);
-	return update.report === undefined ? update : {...update, report: withoutMarks(update.report)};
+	const update = withoutPresenceFlags(value);
+	return update.report === undefined ? update : {...update, report: withoutPresenceFlags(update.report)};
 }
 
 function messageFromWire(wire: Record<string, unknown>): unknown {
 	const {
 		protocol, sender, storeContactAgeMilliseconds, leavingDigest,
-	} = withoutMarks(wire);
+	} = withoutPresenceFlags(wire);
 	return {
 		protocol,
 		sender,
@@ -99,12 +99,12 @@
 		leavingDigest,
 		body: bodyFromWire(wire),
 		members: listSchema.parse(wire.members).map(({record, verdict}) => ({record, verdict: String(verdict).toLowerCase()})),
-		leaving: listSchema.parse(wire.leaving).map(rumour => withoutMarks(rumour)),
+		leaving: listSchema.parse(wire.leaving).map(rumour => withoutPresenceFlags(rumour)),
 		updates: listSchema.parse(wire.updates).map(update => updateFromWire(update)),
 	};
 }
 
-/** Checks what came over the wire. Nothing of a message that does not fit is used. */
+/** Validates and converts a received message. An invalid message is rejected as a whole. */
 export function fromWire(wire: unknown): Result<PeerMessage, Failure<PeerCodecFailureKind>> {
 	try {
 		const parsed = peerMessageSchema.safeParse(messageFromWire(objectSchema.parse(wire)));
@@ -113,8 +113,8 @@
 		}
 
 		const issue = parsed.error.issues[0];
-		return err(failure('malformed-message', `A message from another VM does not fit: ${issue?.message ?? 'no detail'}.`, {field: issue?.path.join('.')}));
+		return err(failure('malformed-message', `Invalid message from another VM: ${issue?.message ?? 'no detail'}.`, {field: issue?.path.join('.')}));
 	} catch {
-		return err(failure('malformed-message', 'A message from another VM does not fit: it holds a part that is not JSON.'));
+		return err(failure('malformed-message', 'Invalid message from another VM: a part is malformed or not valid JSON.'));
 	}
 }
