--- a/benchmark/path/front-only.ts
+++ b/benchmark/path/front-only.ts
@@ -41,7 +41,7 @@
 		},
 		release: async () => undefined,
 	});
-	loop.setCarrier(effect => {
+	loop.setExecutor(effect => {
 		if (effect.type !== 'tell-peers') {
 			calls.execute(effect);
 		}
--- a/src/cli/run.test.ts
+++ b/src/cli/run.test.ts
@@ -249,16 +249,16 @@
 
 	// Guards against a change that is made twice, or reported as rejected, because its response was lost.
 	it('makes a change once when its response is lost and the change is sent again', async function () {
-		user.gateway.mood = 'loses-answers';
+		user.gateway.storeState = 'loses-answers';
 		await user.run('apply', '-f', 'services.toml');
 		expect(user.gateway.version).toEqual(1);
-		user.gateway.mood = 'loses-writes';
+		user.gateway.storeState = 'loses-writes';
 		await user.run('edit', 'service', 'ordering', '--set', 'priority=9');
-		user.gateway.mood = 'well';
+		user.gateway.storeState = 'well';
 		await user.run('edit', 'service', 'ordering', '--set', 'priority=9', '--operation', 'operation-2');
 		await user.run('edit', 'service', 'ordering', '--set', 'priority=9', '--operation', 'operation-2');
 		expect(user.gateway.version).toEqual(2);
-		user.gateway.mood = 'out';
+		user.gateway.storeState = 'out';
 		await user.run('edit', 'service', 'ordering', '--set', 'priority=1');
 		expect(user.transcript).toMatchSnapshot(this);
 	});
--- a/src/common/burn/burn-report.ts
+++ b/src/common/burn/burn-report.ts
@@ -22,7 +22,7 @@
 	readonly services: readonly Service[];
 	readonly backendServers: readonly BackendServer[];
 	/** Counts sent by the processes themselves. */
-	readonly told: readonly ProcessCounts[];
+	readonly reported: readonly ProcessCounts[];
 	/** Copies of processes' counts. Of all copies and the process's own counts, only the newest are used. */
 	readonly copies: readonly ProcessCounts[];
 	/** Addresses of the VMs that sent their counts, and of those that did not answer. */
@@ -33,12 +33,12 @@
 /** Builds the report. Counts of different processes are added, as each call is counted by exactly one process. */
 export function makeBurnReport(input: BurnInput): BurnReport {
 	const newest = newestOfEach(input);
-	const told = new Set(input.told.map(counts => counts.identity));
+	const reported = new Set(input.reported.map(counts => counts.identity));
 	return {
 		services: input.services.map(service => serviceBurn(service, input.backendServers, newest)),
 		vmsCounted: [...input.vmsCounted],
 		vmsMissing: [...input.vmsMissing],
-		copiesCounted: newest.filter(counts => !told.has(counts.identity)).length,
+		copiesCounted: newest.filter(counts => !reported.has(counts.identity)).length,
 	};
 }
 
@@ -48,7 +48,7 @@
  */
 function newestOfEach(input: BurnInput): ProcessCounts[] {
 	const newest = new Map<string, ProcessCounts>();
-	for (const counts of [...input.copies, ...input.told]) {
+	for (const counts of [...input.copies, ...input.reported]) {
 		const known = newest.get(counts.identity);
 		if (known === undefined || counts.ageMilliseconds <= known.ageMilliseconds) {
 			newest.set(counts.identity, counts);
--- a/src/common/burn/burn.test.ts
+++ b/src/common/burn/burn.test.ts
@@ -25,7 +25,7 @@
 
 function reportOf(input: Partial<BurnInput>) {
 	const report = makeBurnReport({
-		services: [ordering], backendServers: [server, server], told: [], copies: [], vmsCounted: [], vmsMissing: [], ...input,
+		services: [ordering], backendServers: [server, server], reported: [], copies: [], vmsCounted: [], vmsMissing: [], ...input,
 	});
 	expect(burnReportSchema.safeParse(report).success).toEqual(true);
 	return report;
@@ -52,7 +52,7 @@
 				ledger.count('ordering', isGood, now);
 			}
 
-			const [line] = reportOf({told: [processCounts('a', ledger, now)]}).services;
+			const [line] = reportOf({reported: [processCounts('a', ledger, now)]}).services;
 			for (const [index, window] of burnWindows.entries()) {
 				const {good, bad} = line!.windows[index]!;
 				const within = (span: number) => times.filter(time => now - time < span).length;
@@ -91,7 +91,7 @@
 		const lines = histories.map(([name, fillLedger]) => {
 			const ledger = new BurnLedger();
 			fillLedger(ledger);
-			const [line] = reportOf({told: [processCounts('a', ledger, day)]}).services;
+			const [line] = reportOf({reported: [processCounts('a', ledger, day)]}).services;
 			return [name, line!.verdict, line!.windows.map(window => window.burnRate?.toFixed(2) ?? null).join(' '), line!.budgetLeft?.toFixed(2)].join(' | ');
 		});
 		expect(lines).toMatchSnapshot(this);
@@ -101,9 +101,9 @@
 		const strict: Service = {...ordering, objective: {successShare: 1, latencyMilliseconds: 250}};
 		const ledger = new BurnLedger();
 		ledger.count('ordering', true, 0);
-		expect(reportOf({services: [strict], told: [processCounts('a', ledger, 1)]}).services[0]!.verdict).toEqual('within-objective');
+		expect(reportOf({services: [strict], reported: [processCounts('a', ledger, 1)]}).services[0]!.verdict).toEqual('within-objective');
 		ledger.count('ordering', false, 1);
-		const [line] = reportOf({services: [strict], told: [processCounts('a', ledger, 2)]}).services;
+		const [line] = reportOf({services: [strict], reported: [processCounts('a', ledger, 2)]}).services;
 		expect([line!.verdict, line!.budgetLeft, line!.windows[0]!.burnRate]).toEqual(['fast-burn', null, null]);
 	});
 
@@ -118,11 +118,11 @@
 		const late = processCounts('ended', ended, hour, minute);
 		const copies = [early, late, processCounts('living', living, hour, minute)];
 		const report = reportOf({
-			told: [processCounts('living', living, hour)], copies, vmsCounted: ['10.0.0.1:7001'], vmsMissing: ['10.0.0.2:7001'],
+			reported: [processCounts('living', living, hour)], copies, vmsCounted: ['10.0.0.1:7001'], vmsMissing: ['10.0.0.2:7001'],
 		});
 		expect(report).toMatchSnapshot(this);
 		const reversed = reportOf({
-			told: [processCounts('living', living, hour)], copies: copies.toReversed(), vmsCounted: ['10.0.0.1:7001'], vmsMissing: ['10.0.0.2:7001'],
+			reported: [processCounts('living', living, hour)], copies: copies.toReversed(), vmsCounted: ['10.0.0.1:7001'], vmsMissing: ['10.0.0.2:7001'],
 		});
 		expect(reversed).toEqual(report);
 	});
@@ -158,7 +158,7 @@
 	});
 
 	it('reports measuring calls of a service without calls', () => {
-		const [line] = reportOf({told: [processCounts('a', new BurnLedger(), 0)]}).services;
+		const [line] = reportOf({reported: [processCounts('a', new BurnLedger(), 0)]}).services;
 		expect([line!.verdict, line!.measuring]).toEqual(['no-calls', {spent: 7, allowed: 480}]);
 	});
 
--- a/src/common/entry-vm/entry-vm.ts
+++ b/src/common/entry-vm/entry-vm.ts
@@ -5,7 +5,7 @@
 import {type FleetEffect, type FleetEngine, type FleetEvent} from '../fleet/types.ts';
 import {type Instant} from '../model/units.ts';
 import {
-	type Decider, type EntryVmEffect, type EntryVmEvent, type OuterCallEffect, type ExternalFleetEvent,
+	type Decider, type EntryVmEffect, type EntryVmEvent, type ExternalCallEffect, type ExternalFleetEvent,
 } from './types.ts';
 
 /** A record rather than a set, so that a missing event type fails to compile: the event would go to the call engine, which does not handle it. */
@@ -32,12 +32,12 @@
 	return Object.hasOwn(fleetEventTypes, event.type);
 }
 
-const callEffectTypes: ReadonlySet<EntryVmEffect['type']> = new Set<OuterCallEffect['type']>([
+const callEffectTypes: ReadonlySet<EntryVmEffect['type']> = new Set<ExternalCallEffect['type']>([
 	'start-attempt', 'cancel-attempt', 'pass-on', 'break-off', 'refuse', 'measure', 'claim-key', 'release-key', 'rate-limit-changed', 'call-ended',
 ]);
 
 /** Returns true for effects of the call engine; all others are effects of the fleet engine. */
-export function isCallEffect(effect: EntryVmEffect): effect is OuterCallEffect {
+export function isCallEffect(effect: EntryVmEffect): effect is ExternalCallEffect {
 	return callEffectTypes.has(effect.type);
 }
 
--- a/src/common/entry-vm/types.ts
+++ b/src/common/entry-vm/types.ts
@@ -12,14 +12,14 @@
 type InternalFleetEffect = 'shares' | 'peer-updates' | 'backend-server-leaving';
 
 /** Events for the call engine from outside the entry VM. */
-export type OuterCallEvent = Exclude<CallEvent, {type: InternalCallEvent}>;
+export type ExternalCallEvent = Exclude<CallEvent, {type: InternalCallEvent}>;
 
 /** Events for the fleet engine from outside the entry VM. */
 export type ExternalFleetEvent = Exclude<FleetEvent, {type: InternalFleetEvent}>;
 
 /** Any event that an entry VM handles. */
 export type EntryVmEvent
-	= | OuterCallEvent
+	= | ExternalCallEvent
 		| ExternalFleetEvent
 	/** Share of recent time (0 to 1) for which the VM was busy; sent about twice a second. */
 		| {readonly type: 'utilisation'; readonly utilisation: number}
@@ -27,13 +27,13 @@
 		| {readonly type: 'tick'};
 
 /** Effects of the call engine that the adapter executes. */
-export type OuterCallEffect = Exclude<CallEffect, {type: 'tell-peers'}>;
+export type ExternalCallEffect = Exclude<CallEffect, {type: 'tell-peers'}>;
 
 /** Effects of the fleet engine that the adapter executes. */
-export type OuterFleetEffect = Exclude<FleetEffect, {type: InternalFleetEffect}>;
+export type ExternalFleetEffect = Exclude<FleetEffect, {type: InternalFleetEffect}>;
 
 /** Any effect that an entry VM returns. */
-export type EntryVmEffect = OuterCallEffect | OuterFleetEffect;
+export type EntryVmEffect = ExternalCallEffect | ExternalFleetEffect;
 
 /** A state machine that handles one event at a time and returns the instant at which it needs a `tick`. */
 export type Decider<Event, Effect> = {
--- a/src/daemon/burn-reporter.ts
+++ b/src/daemon/burn-reporter.ts
@@ -60,7 +60,7 @@
 		return makeBurnReport({
 			services: resourcesOfKind(this._parts.fleet, 'service'),
 			backendServers: resourcesOfKind(this._parts.fleet, 'backend-server'),
-			told: [this.ownCounts(), ...gathered.told],
+			reported: [this.ownCounts(), ...gathered.reported],
 			copies: gathered.copies,
 			vmsCounted: [this._parts.callAddress, ...this._callAddresses(gathered.answered)],
 			vmsMissing: this._callAddresses(gathered.silent),
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -16,7 +16,7 @@
 import {type OperatorServer} from '../node/api/operator-server.ts';
 import {type Clock} from '../node/clock.ts';
 import {type DeciderLoop} from '../node/decider-loop.ts';
-import {type FleetCarrier, type OutwardEffect} from '../node/fleet/fleet-carrier.ts';
+import {type FleetEffectExecutor, type DaemonEffect} from '../node/fleet/fleet-effect-executor.ts';
 import {type BackendConnections} from '../node/front/backend-connections.ts';
 import {type CallEffectExecutor, type EndedCall} from '../node/front/call-effect-executor.ts';
 import {type CallerServer} from '../node/front/caller-server.ts';
@@ -24,7 +24,7 @@
 import {type Metrics} from '../node/metrics/types.ts';
 import {type BurnExchange} from '../node/peers/burn-exchange.ts';
 import {type GrpcPeerTransport, type PeerTraffic} from '../node/peers/grpc-peer-transport.ts';
-import {type PauseDetector} from './pause-watch.ts';
+import {type PauseDetector} from './pause-detector.ts';
 import {StopReport} from './stop-report.ts';
 
 /** Parts of a daemon, created by `wiring.ts`. */
@@ -35,7 +35,7 @@
 	readonly entryVm: EntryVm;
 	readonly loop: DeciderLoop<EntryVmEvent, EntryVmEffect>;
 	readonly callEffectExecutor: CallEffectExecutor;
-	readonly fleetCarrier: FleetCarrier;
+	readonly fleetEffectExecutor: FleetEffectExecutor;
 	readonly connections: BackendConnections;
 	readonly callerServer: CallerServer;
 	readonly operatorServer: OperatorServer;
@@ -75,7 +75,7 @@
 		this._parts = parts;
 		this._reportedTraffic = parts.peers.traffic;
 		this._register(owned);
-		this._register(parts.fleetCarrier.onEffect(effect => {
+		this._register(parts.fleetEffectExecutor.onEffect(effect => {
 			this._handleEffect(effect);
 		}));
 		this._register(parts.callEffectExecutor.onCallEnded(call => {
@@ -97,7 +97,7 @@
 
 	/** Opens the listeners. The callers' listener is the last, so that peers and operators can already supply a configuration. */
 	async start(): Promise<Result<DaemonPorts, StartFailure>> {
-		const {settings, fleetCarrier, callerServer, operatorServer, pauseDetector} = this._parts;
+		const {settings, fleetEffectExecutor, callerServer, operatorServer, pauseDetector} = this._parts;
 		const peers = await this._parts.peers.listen();
 		if (peers.isErr()) {
 			return err(failure('cannot-listen', describeFailure(peers.error), {field: 'peers', cause: peers.error}));
@@ -115,7 +115,7 @@
 
 		pauseDetector.start();
 		this._parts.burnExchange.start();
-		fleetCarrier.start(settings.platform.pollMilliseconds);
+		fleetEffectExecutor.start(settings.platform.pollMilliseconds);
 		this._reportLoad();
 		return ok({callers: callers.value, operators: operators.value, peers: peers.value});
 	}
@@ -125,7 +125,7 @@
 		this._parts.loop.feed({type: 'stop-requested', by: 'signal'});
 	}
 
-	private _handleEffect(effect: OutwardEffect): void {
+	private _handleEffect(effect: DaemonEffect): void {
 		const {connections, logger} = this._parts;
 		switch (effect.type) {
 			case 'configured': {
@@ -196,7 +196,7 @@
 
 			case 'ended': {
 				this._parts.logger.info('stop over', this._stopReport.summary());
-				void Promise.all([this._parts.burnExchange.leaveCopies(), this._parts.operatorServer.end()]).then(() => {
+				void Promise.all([this._parts.burnExchange.sendCopies(), this._parts.operatorServer.end()]).then(() => {
 					this._onEnded.fire();
 				});
 				break;
--- a/src/daemon/entry-daemon.ts
+++ b/src/daemon/entry-daemon.ts
@@ -15,7 +15,7 @@
 import {type DeciderLoop} from '../node/decider-loop.ts';
 import {type EarlyListeners} from '../node/early-listener.ts';
 import {type FeedServer} from '../node/fleet/feed-server.ts';
-import {type OutwardEffect, type StoreCarrier} from '../node/fleet/store-carrier.ts';
+import {type OutwardEffect, type StoreEffectExecutor} from '../node/fleet/store-effect-executor.ts';
 import {type BackendConnections} from '../node/front/backend-connections.ts';
 import {type CallEffectExecutor, type EndedCall, type RateLimitChanged} from '../node/front/call-effect-executor.ts';
 import {type PageServer} from '../node/front/page-server.ts';
@@ -37,7 +37,7 @@
 	readonly entryVm: EntryVm<RegistryFleet>;
 	readonly loop: DeciderLoop<EntryVmEvent, EntryVmEffect>;
 	readonly callEffectExecutor: CallEffectExecutor;
-	readonly storeCarrier: StoreCarrier;
+	readonly storeEffectExecutor: StoreEffectExecutor;
 	readonly connections: BackendConnections;
 	readonly routedServer: RoutedServer;
 	readonly readinessServer: PageServer;
@@ -80,7 +80,7 @@
 		super();
 		this._parts = parts;
 		this._register(owned);
-		this._register(parts.storeCarrier.onEffect(effect => {
+		this._register(parts.storeEffectExecutor.onEffect(effect => {
 			this._handleEffect(effect);
 		}));
 		this._register(parts.callEffectExecutor.onCallEnded(call => {
@@ -210,7 +210,7 @@
 		metrics.callEnded(summary);
 		this._stopReport.recordCall(summary);
 		const budget = summary.isGood ? this._goodCallLines : this._badCallLines;
-		const {isWritten, leftOut} = budget.take(clock.now());
+		const {isWritten, leftOut} = budget.admit(clock.now());
 		if (!isWritten || !logger.isEnabled('info')) {
 			return;
 		}
@@ -253,7 +253,7 @@
 			this._stopReport.recordCutAnswer();
 		}
 
-		const {isWritten, leftOut} = this._badCallLines.take(clock.now());
+		const {isWritten, leftOut} = this._badCallLines.admit(clock.now());
 		if (isWritten) {
 			logger[closedBy === 'here' ? 'warn' : 'info']('answer cut', {...cut, closedBy, ...(leftOut === 0 ? {} : {leftOut})});
 		}
--- a/src/daemon/entry-wiring.ts
+++ b/src/daemon/entry-wiring.ts
@@ -21,7 +21,7 @@
 import {entropySeed} from '../node/entropy.ts';
 import {FeedClient} from '../node/fleet/feed-client.ts';
 import {FeedServer} from '../node/fleet/feed-server.ts';
-import {StoreCarrier} from '../node/fleet/store-carrier.ts';
+import {StoreEffectExecutor} from '../node/fleet/store-effect-executor.ts';
 import {VmProbeClient} from '../node/fleet/vm-probe-client.ts';
 import {type PlatformClient} from '../node/fleet/types.ts';
 import {BackendConnections} from '../node/front/backend-connections.ts';
@@ -31,7 +31,7 @@
 import {RoutedServer} from '../node/front/routed-server.ts';
 import {ReadinessGate} from '../node/front/readiness-gate.ts';
 import {type Logging} from '../node/logging/logging.ts';
-import {CountedMeasurer, CountedPlatformClient} from '../node/metrics/counted-parts.ts';
+import {CountedLoadProbeClient, CountedPlatformClient} from '../node/metrics/counted-clients.ts';
 import {PageMetrics} from '../node/metrics/page-metrics.ts';
 import {EntryDaemon} from './entry-daemon.ts';
 import {newIdentity, type Hashes} from './identity.ts';
@@ -119,12 +119,12 @@
 	const fleet = new RegistryFleet(registrySettings(settings, platform.layout), platform.documents, random);
 	const entryVm = new EntryVm(calls, fleet);
 	const loop = owned.add(new DeciderLoop<EntryVmEvent, EntryVmEffect>(entryVm, clock));
-	const storeCarrier = owned.add(new StoreCarrier(loop, new CountedPlatformClient(platform.store, clock, metrics)));
+	const storeEffectExecutor = owned.add(new StoreEffectExecutor(loop, new CountedPlatformClient(platform.store, clock, metrics)));
 	const feedClient = owned.add(new FeedClient(loop, logger));
 	const vmProbeClient = owned.add(new VmProbeClient(loop));
-	const feedServer = owned.add(new FeedServer(metrics, {whole: () => fleet.feed(clock.now()), isServing: identity => fleet.isServing(identity)}, loop));
+	const feedServer = owned.add(new FeedServer(metrics, {fullFrame: () => fleet.feed(clock.now()), isServing: identity => fleet.isServing(identity)}, loop));
 	const connections = owned.add(new BackendConnections({connectMilliseconds, idleMilliseconds: backendIdleTimeoutMilliseconds}));
-	const callEffectExecutor = owned.add(new CallEffectExecutor(loop, new CountedMeasurer(new HttpLoadProbeClient(connections, platform.dialect), metrics), noKeyClaimer));
+	const callEffectExecutor = owned.add(new CallEffectExecutor(loop, new CountedLoadProbeClient(new HttpLoadProbeClient(connections, platform.dialect), metrics), noKeyClaimer));
 	const readinessGate = owned.add(new ReadinessGate());
 	const routedServer = owned.add(new RoutedServer({
 		sink: loop, calls: callEffectExecutor, connections, dialect: platform.dialect, routes: new RouteTable(random), fingerprint: hashes.fingerprint, readinessGate,
@@ -140,7 +140,7 @@
 		return {addresses: addresses.map(({address}) => address), keepForMilliseconds};
 	})), pageIdleTimeoutMilliseconds));
 	const metricsServer = owned.add(new PageServer(async url => url === metricsPath ? metricsPage(metrics) : undefined, pageIdleTimeoutMilliseconds));
-	loop.setCarrier(effect => {
+	loop.setExecutor(effect => {
 		if (isCallEffect(effect)) {
 			callEffectExecutor.execute(effect);
 			return;
@@ -148,7 +148,7 @@
 
 		switch (effect.type) {
 			case 'follow-feed': {
-				feedClient.follow(effect.source);
+				feedClient.subscribe(effect.source);
 				break;
 			}
 
@@ -168,7 +168,7 @@
 			}
 
 			default: {
-				storeCarrier.carryOut(effect);
+				storeEffectExecutor.execute(effect);
 			}
 		}
 	});
@@ -181,7 +181,7 @@
 		entryVm,
 		loop,
 		callEffectExecutor,
-		storeCarrier,
+		storeEffectExecutor,
 		connections,
 		routedServer,
 		readinessServer,
--- a/src/daemon/fleet-gateway.ts
+++ b/src/daemon/fleet-gateway.ts
@@ -14,7 +14,7 @@
 	type QuarantineEntry, type ResourcesInForce, type Status, type VmStatus, type WatchUpdate,
 } from '../node/api/types.ts';
 import {type Clock} from '../node/clock.ts';
-import {type FleetCarrier} from '../node/fleet/fleet-carrier.ts';
+import {type FleetEffectExecutor} from '../node/fleet/fleet-effect-executor.ts';
 import {type LogControl, type Logger} from '../node/logging/types.ts';
 import {newIdentity} from './identity.ts';
 
@@ -24,7 +24,7 @@
 	readonly dataCentre: string;
 	readonly clock: Clock;
 	readonly fleet: FleetEngine;
-	readonly fleetCarrier: FleetCarrier;
+	readonly fleetEffectExecutor: FleetEffectExecutor;
 	readonly calls: CallEngine;
 	/** Lifts the quarantine of a fingerprint on all VMs; resolves with the addresses of those that could not be reached. */
 	readonly liftOnAllVms: (fingerprint: string) => Promise<readonly string[]>;
@@ -81,7 +81,7 @@
 	}
 
 	async change(request: ChangeRequest, operator: string): Promise<Result<ChangeAccepted, GatewayFailure>> {
-		const answer = await this._parts.fleetCarrier.change({
+		const answer = await this._parts.fleetEffectExecutor.change({
 			operationId: request.operation,
 			who: operator,
 			note: request.note,
@@ -155,7 +155,7 @@
 		}
 
 		this._parts.logger.info('drain requested', {operator, vm: member.address});
-		this._parts.fleetCarrier.drain(member.identity);
+		this._parts.fleetEffectExecutor.drain(member.identity);
 		return ok({...member, state: 'leaving'});
 	}
 
@@ -202,7 +202,7 @@
 				resolve();
 			};
 
-			const subscription = this._parts.fleetCarrier.onEffect(effect => {
+			const subscription = this._parts.fleetEffectExecutor.onEffect(effect => {
 				if (effect.type === 'configured') {
 					finish();
 				}
--- a/src/daemon/wiring.ts
+++ b/src/daemon/wiring.ts
@@ -19,7 +19,7 @@
 import {type Clock, ProcessClock} from '../node/clock.ts';
 import {DeciderLoop} from '../node/decider-loop.ts';
 import {entropySeed} from '../node/entropy.ts';
-import {FleetCarrier} from '../node/fleet/fleet-carrier.ts';
+import {FleetEffectExecutor} from '../node/fleet/fleet-effect-executor.ts';
 import {BackendConnections} from '../node/front/backend-connections.ts';
 import {CallEffectExecutor} from '../node/front/call-effect-executor.ts';
 import {type AddressList, CallerServer} from '../node/front/caller-server.ts';
@@ -27,7 +27,7 @@
 import {StoreKeyClaimer} from '../node/front/store-key-claimer.ts';
 import {type Logging} from '../node/logging/logging.ts';
 import {type Logger} from '../node/logging/types.ts';
-import {CountedMeasurer, CountedPlatformClient} from '../node/metrics/counted-parts.ts';
+import {CountedLoadProbeClient, CountedPlatformClient} from '../node/metrics/counted-clients.ts';
 import {noMetrics} from '../node/metrics/no-metrics.ts';
 import {StatsdMetrics} from '../node/metrics/statsd-metrics.ts';
 import {type Metrics} from '../node/metrics/types.ts';
@@ -42,7 +42,7 @@
 import {Daemon} from './daemon.ts';
 import {FleetGateway} from './fleet-gateway.ts';
 import {newIdentity, type Hashes} from './identity.ts';
-import {PauseDetector} from './pause-watch.ts';
+import {PauseDetector} from './pause-detector.ts';
 
 /** A connection to a backend server usually opens within 1 ms; a lost packet adds 1 s. */
 const connectMilliseconds = 1500;
@@ -150,7 +150,7 @@
 	const client = owned.add(new HttpPlatformClient(settings.platform.url, settings.platform.requestTimeoutMilliseconds));
 	const platform = new CountedPlatformClient(client, clock, metrics);
 	const peers = owned.add(new GrpcPeerTransport(joinAddress(settings.peers.address, settings.peers.port), credentials, () => clock.now()));
-	owned.add(peers.onTrouble(trouble => {
+	owned.add(peers.onFailure(trouble => {
 		logger.debug('message to another VM failed', {peer: trouble.address, failure: describeFailure(trouble.failure)});
 	}));
 	return {platform, peers};
@@ -161,7 +161,7 @@
 /** Creates the parts that a call passes: the callers' listener, attempts, load probes, and claims of idempotency keys. */
 function makeCallPath({settings, owned, clock, hashes, metrics, identity}: SharedParts, {entryVm, loop}: Deciders, {platform}: Clients) {
 	const connections = owned.add(new BackendConnections({connectMilliseconds, idleMilliseconds: backendIdleTimeoutMilliseconds}));
-	const loadProbeClient = new CountedMeasurer(new HttpLoadProbeClient(connections, new JaydaleDialect()), metrics);
+	const loadProbeClient = new CountedLoadProbeClient(new HttpLoadProbeClient(connections, new JaydaleDialect()), metrics);
 	const keyClaimer = new StoreKeyClaimer(platform, clock, identity, hashes.digest);
 	const callEffectExecutor = owned.add(new CallEffectExecutor(loop, loadProbeClient, keyClaimer));
 	const callerServer = owned.add(new CallerServer({
@@ -206,16 +206,16 @@
 	return quarantine;
 }
 
-type GatewayDependencies = {readonly fleetCarrier: FleetCarrier; readonly burn: Burn; readonly quarantine: QuarantineExchange};
+type GatewayDependencies = {readonly fleetEffectExecutor: FleetEffectExecutor; readonly burn: Burn; readonly quarantine: QuarantineExchange};
 
-function makeOperatorServer(sharedParts: SharedParts, tokens: readonly OperatorToken[], {entryVm}: Deciders, {fleetCarrier, burn, quarantine}: GatewayDependencies): OperatorServer {
+function makeOperatorServer(sharedParts: SharedParts, tokens: readonly OperatorToken[], {entryVm}: Deciders, {fleetEffectExecutor, burn, quarantine}: GatewayDependencies): OperatorServer {
 	const {settings, owned, clock, logging, logger, metrics} = sharedParts;
 	const gateway = new FleetGateway({
 		vmName: settings.vm.name,
 		dataCentre: settings.vm.dataCentre,
 		clock,
 		fleet: entryVm.fleet,
-		fleetCarrier,
+		fleetEffectExecutor,
 		calls: entryVm.calls,
 		liftOnAllVms: async fingerprint => quarantine.lift(fingerprint, burn.burnReporter.peerAddresses()),
 		burn: async () => burn.burnReporter.report(burn.burnExchange),
@@ -233,20 +233,20 @@
 	const sharedParts = makeSharedParts(settings, inputs);
 	const deciders = makeDeciders(sharedParts);
 	const clients = makeClients(sharedParts, inputs.credentials);
-	const fleetCarrier = sharedParts.owned.add(new FleetCarrier(deciders.loop, sharedParts.clock, clients.platform, clients.peers));
+	const fleetEffectExecutor = sharedParts.owned.add(new FleetEffectExecutor(deciders.loop, sharedParts.clock, clients.platform, clients.peers));
 	const callPath = makeCallPath(sharedParts, deciders, clients);
 	const burn = makeBurn(sharedParts, deciders, clients);
 	const quarantine = makeQuarantine(sharedParts, deciders, clients);
-	const operatorServer = makeOperatorServer(sharedParts, tokens, deciders, {fleetCarrier, burn, quarantine});
+	const operatorServer = makeOperatorServer(sharedParts, tokens, deciders, {fleetEffectExecutor, burn, quarantine});
 	const pauseDetector = sharedParts.owned.add(new PauseDetector(sharedParts.clock, () => Date.now()));
-	deciders.loop.setCarrier(effect => {
+	deciders.loop.setExecutor(effect => {
 		if (isCallEffect(effect)) {
 			callPath.callEffectExecutor.execute(effect);
 		} else {
-			fleetCarrier.carryOut(effect);
+			fleetEffectExecutor.execute(effect);
 		}
 	});
 	return new Daemon({
-		...sharedParts, ...deciders, ...callPath, ...burn, fleetCarrier, operatorServer, peers: clients.peers, pauseDetector,
+		...sharedParts, ...deciders, ...callPath, ...burn, fleetEffectExecutor, operatorServer, peers: clients.peers, pauseDetector,
 	}, sharedParts.owned);
 }
--- a/src/node/api/fake-gateway.test.ts
+++ b/src/node/api/fake-gateway.test.ts
@@ -16,7 +16,7 @@
 export type StoreState = 'well' | 'loses-answers' | 'loses-writes' | 'out';
 
 export class FakeGateway implements OperatorGateway {
-	mood: StoreState = 'well';
+	storeState: StoreState = 'well';
 	report: BurnReport = {
 		services: [], vmsCounted: ['vm-1'], vmsMissing: [], copiesCounted: 0,
 	};
@@ -55,8 +55,8 @@
 			return ok({version: earlier.version, operation});
 		}
 
-		const {mood} = this;
-		if (mood === 'out') {
+		const {storeState} = this;
+		if (storeState === 'out') {
 			return err(failure('unavailable', 'the platform\'s service does not answer'));
 		}
 
@@ -65,11 +65,11 @@
 			return err(conflict);
 		}
 
-		if (mood !== 'loses-writes') {
+		if (storeState !== 'loses-writes') {
 			this._commit(request, operator);
 		}
 
-		return mood === 'well'
+		return storeState === 'well'
 			? ok({version: this.version, operation})
 			: err({...failure('outcome-unknown', 'the answer of the write was lost'), operation});
 	}
@@ -96,7 +96,7 @@
 			isCutOff: false,
 			version: this.version,
 			newestKnownVersion: this.version,
-			storeContactAgeMilliseconds: this.mood === 'out' ? 90_000 : 40,
+			storeContactAgeMilliseconds: this.storeState === 'out' ? 90_000 : 40,
 			shareSlot: 3,
 			callsInFlight: 12,
 			callsQueued: 1,
--- a/src/node/api/resource-api.test.ts
+++ b/src/node/api/resource-api.test.ts
@@ -88,10 +88,10 @@
 	// Fails if an accepted change is reported as refused, or if a repeated change is applied twice.
 	it('reports an unknown outcome, resolves it, and applies a repeated change once', async function () {
 		const change = {operation: 'operation-1', mutations: [{type: 'put', resource: service, expected: 0}]};
-		gateway.mood = 'loses-answers';
+		gateway.storeState = 'loses-answers';
 		const lost = await send('POST', '/v1/changes', {body: change});
 		const asked = await send('GET', '/v1/operations/operation-1');
-		gateway.mood = 'well';
+		gateway.storeState = 'well';
 		const repeated = await send('POST', '/v1/changes', {body: change});
 		const other = await send('GET', '/v1/operations/operation-9');
 		expect([lost, asked, repeated, other]).toMatchSnapshot(this);
@@ -208,7 +208,7 @@
 	});
 
 	it('reports "unavailable" and not "unknown" if the store cannot be reached', async function () {
-		gateway.mood = 'out';
+		gateway.storeState = 'out';
 		expect(await send('POST', '/v1/resources', {body: service})).toMatchSnapshot(this);
 		expect(answered).toEqual(['POST 503']);
 	});
--- a/src/node/decider-loop.ts
+++ b/src/node/decider-loop.ts
@@ -30,7 +30,7 @@
 	}
 
 	/** Sets the executor of effects. A setter, because executors feed the loop and are therefore created after it. */
-	setCarrier(executor: EffectExecutor<Effect>): void {
+	setExecutor(executor: EffectExecutor<Effect>): void {
 		this._executor = executor;
 	}
 
--- a/src/node/early-listener.ts
+++ b/src/node/early-listener.ts
@@ -23,7 +23,7 @@
 	}
 
 	/** Transfers the listener and its waiting connections to the server. Returns false if the listener is not open. */
-	handTo(server: HttpServer, backlog: number | undefined, onListening: () => void): boolean {
+	transferTo(server: HttpServer, backlog: number | undefined, onListening: () => void): boolean {
 		if (!this._listener.listening) {
 			return false;
 		}
--- a/src/node/fleet/feed-client.ts
+++ b/src/node/fleet/feed-client.ts
@@ -36,7 +36,7 @@
 	}
 
 	/** Subscribes to the feed of this VM and ends any other subscription; undefined = no subscription. */
-	follow(source: PeerAddress | undefined): void {
+	subscribe(source: PeerAddress | undefined): void {
 		this._announcements = undefined;
 		if (source === undefined) {
 			this._subscription.value = undefined;
--- a/src/node/fleet/feed-server.ts
+++ b/src/node/fleet/feed-server.ts
@@ -28,7 +28,7 @@
 /** Data that the server sends. */
 export type FeedContent = {
 	/** A frame with all entries, sent first on each stream. */
-	whole(): FeedFrame;
+	fullFrame(): FeedFrame;
 	/** Whether this VM is the process of that identity and accepts calls. */
 	isServing(identity: string): boolean;
 };
@@ -79,7 +79,7 @@
 		});
 		this._readAnnouncements(incoming, outgoing);
 		outgoing.writeHead(200, {'content-type': 'application/x-ndjson'});
-		outgoing.write(encodeFrame(this._content.whole()));
+		outgoing.write(encodeFrame(this._content.fullFrame()));
 		this._subscribers.add(outgoing);
 	}
 
--- a/src/node/fleet/feed-stream.test.ts
+++ b/src/node/fleet/feed-stream.test.ts
@@ -31,7 +31,7 @@
 	readonly owned = new DisposableStore();
 	readonly serverEvents: FleetEvent[] = [];
 	readonly clientEvents: FleetEvent[] = [];
-	readonly server = this.owned.add(new FeedServer(noMetrics, {isServing: identity => identity === 'here', whole: () => frame}, {
+	readonly server = this.owned.add(new FeedServer(noMetrics, {isServing: identity => identity === 'here', fullFrame: () => frame}, {
 		feed: event => {
 			this.serverEvents.push(event);
 		},
@@ -68,7 +68,7 @@
 
 	it('carries the registry feed and announcements in opposite directions on one connection', async () => {
 		const address = await streams.start();
-		streams.client.follow(address);
+		streams.client.subscribe(address);
 		streams.client.announce(announcement);
 		await until(() => streams.serverEvents.length > 0 && streams.clientEvents.length > 0);
 		streams.server.publish({...frame, revision: 8, isWhole: false});
@@ -82,17 +82,17 @@
 
 	// Fails if callers still receive the address of a killed VM because the VM that registers it does not detect the end.
 	it('reports the end of a subscriber to the VM that serves the feed', async () => {
-		streams.client.follow(await streams.start());
+		streams.client.subscribe(await streams.start());
 		streams.client.announce(announcement);
 		await until(() => streams.serverEvents.length > 0);
-		streams.client.follow(undefined);
+		streams.client.subscribe(undefined);
 		await until(() => streams.serverEvents.length > 1);
 		expect(streams.serverEvents.at(-1)).toEqual({type: 'member-ended', identity: 'vm-1'});
 	});
 
 	it('reports the end of the serving VM to the subscriber', async () => {
 		const address = await streams.start();
-		streams.client.follow(address);
+		streams.client.subscribe(address);
 		await until(() => streams.clientEvents.length > 0);
 		streams.server.dispose();
 		await until(() => streams.clientEvents.length > 1);
--- a/src/node/fleet/fleet-carrier.ts
+++ b/src/node/fleet/fleet-effect-executor.ts
@@ -1,5 +1,5 @@
 /** Executes the effects of the fleet engine: requests to the platform, messages between VMs, answers to operators. */
-import {type OuterFleetEffect} from '../../common/entry-vm/types.ts';
+import {type ExternalFleetEffect} from '../../common/entry-vm/types.ts';
 import {
 	type FleetEvent, type FleetStage, type OperatorAnswer, type OperatorChange,
 } from '../../common/fleet/types.ts';
@@ -11,19 +11,19 @@
 import {type PeerTransport, type PlatformClient} from './types.ts';
 
 /** Effects that the daemon passes to the front or the logs. */
-export type OutwardEffect = Exclude<OuterFleetEffect, {type: 'store' | 'send' | 'operator-answer' | 'follow-feed' | 'publish-feed' | 'announce' | 'probe-vm'}>;
+export type DaemonEffect = Exclude<ExternalFleetEffect, {type: 'store' | 'send' | 'operator-answer' | 'follow-feed' | 'publish-feed' | 'announce' | 'probe-vm'}>;
 
 type FleetSinkEvent = Extract<FleetEvent, {type: 'started' | 'store-replied' | 'peer-message' | 'peer-unreachable' | 'vm-list' | 'operator-change' | 'operator-drain'}>;
 
 /** Executes fleet effects and feeds the results back to the engine. */
-export class FleetCarrier extends Disposable {
+export class FleetEffectExecutor extends Disposable {
 	private readonly _sink: EventSink<FleetSinkEvent>;
 	private readonly _clock: Clock;
 	private readonly _platform: PlatformClient;
 	private readonly _peers: PeerTransport;
 	private readonly _waitingOperators = new Map<number, (answer: OperatorAnswer) => void>();
 	private readonly _vmListTimer = this._register(new MutableDisposable<DisposableLike>());
-	private readonly _onEffect = this._register(new Emitter<OutwardEffect>());
+	private readonly _onEffect = this._register(new Emitter<DaemonEffect>());
 	private readonly _onStage = this._register(new Emitter<FleetStage>());
 	private _lastRequestId = 0;
 	private _isDisposed = false;
@@ -73,7 +73,7 @@
 		this._sink.feed({type: 'operator-drain', identity});
 	}
 
-	carryOut(effect: OuterFleetEffect): void {
+	execute(effect: ExternalFleetEffect): void {
 		switch (effect.type) {
 			case 'store': {
 				void this._executeStoreOperation(effect);
@@ -111,7 +111,7 @@
 		}
 	}
 
-	private async _executeStoreOperation(effect: OuterFleetEffect & {type: 'store'}): Promise<void> {
+	private async _executeStoreOperation(effect: ExternalFleetEffect & {type: 'store'}): Promise<void> {
 		const reply = await this._platform.execute(effect.operation);
 		this._sink.feed({type: 'store-replied', requestId: effect.requestId, reply});
 	}
--- a/src/node/fleet/store-carrier.ts
+++ b/src/node/fleet/store-effect-executor.ts
@@ -1,29 +1,29 @@
 /** Executes the store requests of a fleet that is coordinated through the store and passes all other effects to the daemon. */
-import {type OuterFleetEffect} from '../../common/entry-vm/types.ts';
+import {type ExternalFleetEffect} from '../../common/entry-vm/types.ts';
 import {type FleetEvent} from '../../common/fleet/types.ts';
 import {Disposable} from '../../common/lifecycle/disposable.ts';
 import {Emitter} from '../../common/lifecycle/emitter.ts';
 import {type EventSink} from '../decider-loop.ts';
-import {type OutwardEffect} from './fleet-carrier.ts';
+import {type DaemonEffect} from './fleet-effect-executor.ts';
 import {type PlatformClient} from './types.ts';
 
-export type {OutwardEffect} from './fleet-carrier.ts';
+export type {DaemonEffect as OutwardEffect} from './fleet-effect-executor.ts';
 
-export class StoreCarrier extends Disposable {
+export class StoreEffectExecutor extends Disposable {
 	private readonly _sink: EventSink<Extract<FleetEvent, {type: 'store-replied'}>>;
 	private readonly _client: Pick<PlatformClient, 'execute'>;
-	private readonly _onEffect = this._register(new Emitter<OutwardEffect>());
+	private readonly _onEffect = this._register(new Emitter<DaemonEffect>());
 
 	/** Fires for each effect that the daemon handles. */
 	readonly onEffect = this._onEffect.event;
 
-	constructor(sink: StoreCarrier['_sink'], store: Pick<PlatformClient, 'execute'>) {
+	constructor(sink: StoreEffectExecutor['_sink'], store: Pick<PlatformClient, 'execute'>) {
 		super();
 		this._sink = sink;
 		this._client = store;
 	}
 
-	carryOut(effect: OutwardEffect | (OuterFleetEffect & {type: 'store' | 'send' | 'operator-answer'})): void {
+	execute(effect: DaemonEffect | (ExternalFleetEffect & {type: 'store' | 'send' | 'operator-answer'})): void {
 		if (effect.type === 'store') {
 			void this._executeStoreOperation(effect);
 		} else if (effect.type !== 'send' && effect.type !== 'operator-answer') {
@@ -31,7 +31,7 @@
 		}
 	}
 
-	private async _executeStoreOperation({requestId, operation}: OuterFleetEffect & {type: 'store'}): Promise<void> {
+	private async _executeStoreOperation({requestId, operation}: ExternalFleetEffect & {type: 'store'}): Promise<void> {
 		const reply = await this._client.execute(operation);
 		this._sink.feed({type: 'store-replied', requestId, reply});
 	}
--- a/src/node/fleet/vm-probe-client.test.ts
+++ b/src/node/fleet/vm-probe-client.test.ts
@@ -39,7 +39,7 @@
 	});
 
 	it('distinguishes the serving process from an earlier one at the same address', async () => {
-		const server = owned.add(new FeedServer(noMetrics, {isServing: identity => identity === 'now-here', whole: () => nothing}, {
+		const server = owned.add(new FeedServer(noMetrics, {isServing: identity => identity === 'now-here', fullFrame: () => nothing}, {
 			feed() {
 				// There are no subscribers.
 			},
--- a/src/node/front/call-effect-executor.ts
+++ b/src/node/front/call-effect-executor.ts
@@ -2,7 +2,7 @@
 import {
 	type CallEffect, type CallEvent, type CallId, type CallSummary,
 } from '../../common/calls/types.ts';
-import {type OuterCallEffect} from '../../common/entry-vm/types.ts';
+import {type ExternalCallEffect} from '../../common/entry-vm/types.ts';
 import {Disposable} from '../../common/lifecycle/disposable.ts';
 import {Emitter} from '../../common/lifecycle/emitter.ts';
 import {type LiveCall} from './live-call.ts';
@@ -55,7 +55,7 @@
 	}
 
 	/** Executes one effect of the call engine. */
-	execute(effect: OuterCallEffect): void {
+	execute(effect: ExternalCallEffect): void {
 		switch (effect.type) {
 			case 'start-attempt': {
 				this._callIdByAttemptId.set(effect.attemptId, effect.callId);
@@ -97,7 +97,7 @@
 	}
 
 	/** Executes effects that do not concern the connections of a call. */
-	private _executeOther(effect: OuterCallEffect & {type: 'measure' | 'claim-key' | 'release-key' | 'rate-limit-changed'}): void {
+	private _executeOther(effect: ExternalCallEffect & {type: 'measure' | 'claim-key' | 'release-key' | 'rate-limit-changed'}): void {
 		switch (effect.type) {
 			case 'measure': {
 				this._loadProber.probe(effect, this._sink);
--- a/src/node/front/test-utilities.test.ts
+++ b/src/node/front/test-utilities.test.ts
@@ -29,7 +29,7 @@
 	const engine = new DefaultCallEngine({random: seededRandom(1), settings: {dataCentre: 'north'}});
 	const loop = store.add(new DeciderLoop(engine, new ProcessClock()));
 	const calls = store.add(new CallEffectExecutor(loop, new HttpLoadProbeClient(connections, new JaydaleDialect()), unusedKeyClaimer));
-	loop.setCarrier(effect => {
+	loop.setExecutor(effect => {
 		if (effect.type !== 'tell-peers') {
 			calls.execute(effect);
 		}
--- a/src/node/front/types.ts
+++ b/src/node/front/types.ts
@@ -1,12 +1,12 @@
 /** Types shared by the modules that carry calls between callers and backend servers. */
 import {type IncomingHttpHeaders} from 'node:http';
 import {type AttemptFailure} from '../../common/calls/types.ts';
-import {type OuterCallEvent} from '../../common/entry-vm/types.ts';
+import {type ExternalCallEvent} from '../../common/entry-vm/types.ts';
 import {type EventSink} from '../decider-loop.ts';
 import {type BackendAttempt} from './backend-attempt.ts';
 
 /** Receives events for the call engine; the event loop passes them to the engine one at a time. */
-export type CallEventSink = EventSink<OuterCallEvent>;
+export type CallEventSink = EventSink<ExternalCallEvent>;
 
 /** Status and headers of a backend server's answer. */
 export type AnswerHead = {
--- a/src/node/listening.ts
+++ b/src/node/listening.ts
@@ -26,7 +26,7 @@
 			resolve(ok(typeof bound === 'object' && bound !== null ? bound.port : port));
 		};
 
-		if (early?.handTo(server, backlog, onListening) !== true) {
+		if (early?.transferTo(server, backlog, onListening) !== true) {
 			server.listen(port, address, backlog, onListening);
 		}
 	});
--- a/src/node/logging/bounds.test.ts
+++ b/src/node/logging/bounds.test.ts
@@ -6,7 +6,7 @@
 	// Fails if every call of a burst writes a log line, which takes processor time from the calls.
 	it('admits a fixed number of lines per second and counts the omitted ones', () => {
 		const budget = new LineBudget(2);
-		const written = [0, 1, 2, 3, 1000, 1001].map(now => budget.take(now));
+		const written = [0, 1, 2, 3, 1000, 1001].map(now => budget.admit(now));
 		expect(written).toEqual([
 			{isWritten: true, leftOut: 0},
 			{isWritten: true, leftOut: 0},
--- a/src/node/logging/line-budget.ts
+++ b/src/node/logging/line-budget.ts
@@ -24,7 +24,7 @@
 		this._perSecond = perSecond;
 	}
 
-	take(now: Instant): Admission {
+	admit(now: Instant): Admission {
 		if (now - this._windowStart >= second) {
 			this._windowStart = now;
 			this._written = 0;
--- a/src/node/metrics/counted-parts.ts
+++ b/src/node/metrics/counted-clients.ts
@@ -35,7 +35,7 @@
 }
 
 /** Counts load probes by service. */
-export class CountedMeasurer implements LoadProbeClient {
+export class CountedLoadProbeClient implements LoadProbeClient {
 	private readonly _client: LoadProbeClient;
 	private readonly _metrics: Metrics;
 
--- a/src/node/peers/burn-codec.ts
+++ b/src/node/peers/burn-codec.ts
@@ -38,7 +38,7 @@
 	return parsed.success ? ok(parsed.data) : err(failure('malformed-message', 'The burn counts are invalid.'));
 }
 
-export function toldFromWire(input: unknown): Result<CountsReport, Failure<'malformed-message'>> {
+export function reportFromWire(input: unknown): Result<CountsReport, Failure<'malformed-message'>> {
 	const wire = wireReportSchema.safeParse(input);
 	if (!wire.success) {
 		return err(failure('malformed-message', 'The burn counts are invalid.'));
--- a/src/node/peers/burn-exchange.ts
+++ b/src/node/peers/burn-exchange.ts
@@ -7,7 +7,7 @@
 import {type Milliseconds} from '../../common/model/units.ts';
 import {type Clock} from '../clock.ts';
 import {
-	countsFromWire, countsToWire, type CountsReport, toldFromWire,
+	countsFromWire, countsToWire, type CountsReport, reportFromWire,
 } from './burn-codec.ts';
 import {type GrpcPeerTransport} from './grpc-peer-transport.ts';
 import {loadService, type UntypedService} from './proto-file.ts';
@@ -20,7 +20,7 @@
 
 /** Answers of the other VMs. */
 export type GatheredCounts = {
-	readonly told: readonly ProcessCounts[];
+	readonly reported: readonly ProcessCounts[];
 	readonly copies: readonly ProcessCounts[];
 	readonly answered: readonly PeerAddress[];
 	/** VMs that did not answer in time. */
@@ -60,26 +60,26 @@
 	/** Requests the counts of all other VMs concurrently. VMs that do not answer in time are listed in `silent`. */
 	async gather(): Promise<GatheredCounts> {
 		const peers = this._parts.peers();
-		const answers = await Promise.all(peers.map(async address => ({address, told: await this._requestCounts(address)})));
-		const received = answers.flatMap(({told}) => told === undefined ? [] : [told]);
+		const answers = await Promise.all(peers.map(async address => ({address, reported: await this._requestCounts(address)})));
+		const received = answers.flatMap(({reported}) => reported === undefined ? [] : [reported]);
 		return {
-			told: received.map(({own}) => own),
+			reported: received.map(({own}) => own),
 			copies: [...received.flatMap(({copies}) => copies), ...this._parts.copies.all(this._parts.clock.now())],
-			answered: answers.filter(({told}) => told !== undefined).map(({address}) => address),
-			silent: answers.filter(({told}) => told === undefined).map(({address}) => address),
+			answered: answers.filter(({reported}) => reported !== undefined).map(({address}) => address),
+			silent: answers.filter(({reported}) => reported === undefined).map(({address}) => address),
 		};
 	}
 
 	/** Starts to send copies to other VMs periodically. */
 	start(): void {
 		this._timer.value = this._parts.clock.after(copyIntervalMilliseconds, () => {
-			void this.leaveCopies();
+			void this.sendCopies();
 			this.start();
 		});
 	}
 
 	/** Sends a copy of the current counts to other VMs; also the last step of a planned stop. */
-	async leaveCopies(): Promise<void> {
+	async sendCopies(): Promise<void> {
 		const counts = countsToWire(this._parts.own());
 		const receivers = this._parts.peers().slice(0, copyCount);
 		await Promise.all(receivers.map(async address => this._parts.transport.request(address, this._service.Keep!, counts)));
@@ -87,8 +87,8 @@
 
 	private async _requestCounts(address: PeerAddress): Promise<CountsReport | undefined> {
 		const answer = await this._parts.transport.request(address, this._service.Tell!, {});
-		const told = answer.andThen(message => toldFromWire(message));
-		return told.isOk() ? told.value : undefined;
+		const reported = answer.andThen(message => reportFromWire(message));
+		return reported.isOk() ? reported.value : undefined;
 	}
 
 	private _keep(request: object, answer: sendUnaryData<object>): void {
--- a/src/node/peers/grpc-peer-transport.test.ts
+++ b/src/node/peers/grpc-peer-transport.test.ts
@@ -115,7 +115,7 @@
 			received.push(item);
 			finish();
 		});
-		sender.onTrouble(({failure}: PeerFailure) => {
+		sender.onFailure(({failure}: PeerFailure) => {
 			failures.push(failure.kind);
 			finish();
 		});
@@ -266,7 +266,7 @@
 				const listener = receiver.onMessage(() => {
 					finish('received');
 				});
-				sender.onTrouble(({failure}) => {
+				sender.onFailure(({failure}) => {
 					finish(failure.kind);
 				});
 				sender.send(`${address}:${listening.unwrapOr(0)}`, message({type: 'join'}));
--- a/src/node/peers/grpc-peer-transport.ts
+++ b/src/node/peers/grpc-peer-transport.ts
@@ -79,7 +79,7 @@
 	readonly onMessage = this._onMessage.event;
 	readonly onUnreachable = this._onUnreachable.event;
 	/** Fires for each failure, for logs and metrics. */
-	readonly onTrouble = this._onFailure.event;
+	readonly onFailure = this._onFailure.event;
 
 	/** @param _listenAddress `IP:PORT` to listen on; port 0 takes a free one */
 	constructor(
--- a/src/proof/bad-input.test.ts
+++ b/src/proof/bad-input.test.ts
@@ -17,7 +17,7 @@
 import {CallEffectExecutor} from '../node/front/call-effect-executor.ts';
 import {CallerServer} from '../node/front/caller-server.ts';
 import {HttpLoadProbeClient} from '../node/front/http-load-probe-client.ts';
-import {toldFromWire} from '../node/peers/burn-codec.ts';
+import {reportFromWire} from '../node/peers/burn-codec.ts';
 import {fromWire} from '../node/peers/peer-codec.ts';
 import {parseToml} from '../node/settings/load-settings.ts';
 
@@ -59,7 +59,7 @@
 	const connections = store.add(new BackendConnections({connectMilliseconds: 500, idleMilliseconds: 500, silenceMilliseconds: 300}));
 	const loop = store.add(new DeciderLoop(new DefaultCallEngine({random: seededRandom(1), settings: {dataCentre: 'north'}}), new ProcessClock()));
 	const calls = store.add(new CallEffectExecutor(loop, new HttpLoadProbeClient(connections, new JaydaleDialect()), {claim: () => undefined, release: async () => undefined}));
-	loop.setCarrier(effect => {
+	loop.setExecutor(effect => {
 		if (effect.type !== 'tell-peers') {
 			calls.execute(effect);
 		}
@@ -144,7 +144,7 @@
 			decodeShard(words);
 			parseToml(words);
 			fromWire(anything);
-			toldFromWire(anything);
+			reportFromWire(anything);
 		}), {seed, numRuns: 2000});
 	});
 
--- a/src/proof/fuzz/call-fuzz.ts
+++ b/src/proof/fuzz/call-fuzz.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import {DefaultCallEngine} from '../../common/calls/call-engine.ts';
 import {WakeGuard} from '../../common/calls/wake-guard.ts';
-import {GuaranteeViolationError} from './broken-promise.ts';
+import {GuaranteeViolationError} from './guarantee-violation-error.ts';
 import {callCommandKinds} from './call-commands.ts';
 import {CallWorld, type CallEngineFactory} from './call-world.ts';
 import {type FaultCoverage} from './fault-coverage.ts';
--- a/src/proof/fuzz/call-world.ts
+++ b/src/proof/fuzz/call-world.ts
@@ -11,7 +11,7 @@
 import {type CallEnvironment, type FuzzedCall, type VmHost} from './types.ts';
 import {FakeBackendServer} from './fake-backend-server.ts';
 import {type FaultCoverage} from './fault-coverage.ts';
-import {ActiveFaults} from './fault-log.ts';
+import {ActiveFaults} from './active-faults.ts';
 import {FakeFleet, storeName} from './fake-fleet.ts';
 import {Network} from './network.ts';
 import {Timeline} from './timeline.ts';
--- a/src/proof/fuzz/fleet-fuzz.ts
+++ b/src/proof/fuzz/fleet-fuzz.ts
@@ -1,6 +1,6 @@
 /** Property of fleet engines: after any list of commands, the oracle finds no violation and the world settles. */
 import fc from 'fast-check';
-import {GuaranteeViolationError} from './broken-promise.ts';
+import {GuaranteeViolationError} from './guarantee-violation-error.ts';
 import {type FaultCoverage} from './fault-coverage.ts';
 import {fleetCommandKinds} from './fleet-commands.ts';
 import {FleetWorld} from './fleet-world.ts';
--- a/src/proof/fuzz/fleet-world.ts
+++ b/src/proof/fuzz/fleet-world.ts
@@ -11,7 +11,7 @@
 import {findViolations} from '../oracle/oracle.ts';
 import {type HistoryEvent} from '../oracle/types.ts';
 import {type FaultCoverage} from './fault-coverage.ts';
-import {ActiveFaults} from './fault-log.ts';
+import {ActiveFaults} from './active-faults.ts';
 import {FakeStore} from './fake-store.ts';
 import {
 	budgetCalls, budgetWindowMilliseconds, FleetVm, type FleetEnvironment,
--- a/src/proof/oracle/oracle.ts
+++ b/src/proof/oracle/oracle.ts
@@ -1,8 +1,8 @@
 /** The test oracle: checks a recorded history against the seven guarantees. Favours readable checks over speed. */
 import {
 	checkAtMostOnce, checkGracefulStops, checkNotRun, checkWholeAnswers,
-} from './call-promises.ts';
-import {checkConfiguration, checkLeaving, checkMeasuringBudget} from './fleet-promises.ts';
+} from './call-guarantees.ts';
+import {checkConfiguration, checkLeaving, checkMeasuringBudget} from './fleet-guarantees.ts';
 import {HistoryIndex} from './history-index.ts';
 import {
 	type HistoryEvent, type OracleLimits, type Violation, defaultLimits,
