--- a/deploy/undici.cjs
+++ b/deploy/undici.cjs
@@ -1,5 +1,5 @@
-// The parts of undici that an entry VM uses, for the bundle of deploy/system.toml: loading the whole package (fetch,
-// web sockets, caches, mocks) costs each process 6 MB more and a longer start.
+// The parts of undici that an entry VM uses, for the bundle that deploy/system.toml builds. Loading the whole package (fetch,
+// WebSocket, caches, mocks) takes 6 MB more memory per process and lengthens every start.
 const {Client, Pool, buildConnector, errors} = {
 	Client: require('../node_modules/undici/lib/dispatcher/client.js'),
 	Pool: require('../node_modules/undici/lib/dispatcher/pool.js'),
--- a/xo.config.js
+++ b/xo.config.js
@@ -1,22 +1,22 @@
-// XO decides formatting and names. Each rule set aside here names the clash that forces it.
+// XO defines formatting and naming. The comments below give the reasons for which rules are switched off or changed.
 const xoConfig = [
 	{
 		ignores: ['dist/**', 'charts/**', 'docs/**'],
 	},
 	{
 		rules: {
-			// House style: private members start with an underscore.
+			// In this project, private members start with an underscore.
 			'@typescript-eslint/naming-convention': 'off',
-			// The library's own event emitters are typed; `null` is what zod, undici and JSON hand over.
+			// The project's own event emitters are typed; zod, undici and JSON return `null`.
 			'unicorn/no-null': 'off',
 			'@typescript-eslint/no-restricted-types': 'off',
-			// Result chains are read in order; neverthrow's `match` is no array method.
+			// Chains of results are read in order; the `match` of a neverthrow result is not an array method.
 			'unicorn/no-array-callback-reference': 'off',
 			'unicorn/no-array-for-each': 'off',
-			// One class a file is the rule here; small value classes of one union stay together.
+			// A file holds one class, except that the small value classes of one union share a file.
 			'max-classes-per-file': 'off',
 			'unicorn/no-thenable': 'off',
-			// Hot loops are written as loops over indices where a measurement asks for it.
+			// Hot loops use an index where a measurement shows that it is faster.
 			'unicorn/no-for-loop': 'off',
 			'no-await-in-loop': 'off',
 			'n/prefer-global/process': 'off',
@@ -29,7 +29,7 @@
 			'capitalized-comments': 'off',
 			'max-params': ['error', 5],
 			complexity: ['error', 15],
-			// A `default` that hands the rest on is a decision, not an omission.
+			// A `default` clause that covers all remaining members of a union is intentional.
 			'@typescript-eslint/switch-exhaustiveness-check': ['error', {considerDefaultExhaustiveForUnions: true}],
 			'import-x/extensions': 'off',
 			'unicorn/prefer-event-target': 'off',
@@ -39,12 +39,12 @@
 	{
 		files: ['**/*.test.ts'],
 		rules: {
-			// earl's expectations read as statements; fast-check's properties return promises to mocha.
+			// earl's expectations are plain statements; fast-check's properties return promises, which mocha must receive.
 			'@typescript-eslint/no-floating-promises': 'error',
 			'max-nested-callbacks': 'off',
-			// Mocha hands the snapshot context over as `this`.
+			// Mocha passes the context, which snapshots need, as `this`.
 			'func-names': 'off',
-			// Short listeners push to a log; what push returns is of no interest.
+			// Short listeners append to an array with `push`, whose return value is not used.
 			'@typescript-eslint/strict-void-return': 'off',
 			'prefer-arrow-callback': 'off',
 		},
