--- a/benchmark/policy/baseline-engine.ts
+++ b/benchmark/policy/baseline-engine.ts
@@ -314,7 +314,8 @@
 			this._loadProbes.set(loadProbeId, server);
 			this._nextLoadProbes.add(now + this._loadProbeInterval(server), server);
 			this._effects.push({
-				type: 'measure', loadProbeId, service: server.declared.service, path: '/load', identity: server.identity, address: server.declared.address, port: server.declared.port, timeoutMilliseconds: 20,
+				type: 'measure', loadProbeId, service: server.declared.service, path: '/load',
+				identity: server.identity, address: server.declared.address, port: server.declared.port, timeoutMilliseconds: 20,
 			});
 		}
 	}
--- a/src/common/calls/service-state.ts
+++ b/src/common/calls/service-state.ts
@@ -156,7 +156,8 @@
 	 */
 	loadOf(server: BackendServerState, vmCount: number, now: Instant): number {
 		const meanOthers = this.meanCallsOfOtherVms(vmCount);
-		return (server.attempts.size * (1 + (this._tuning.ownCallExtrapolation * (vmCount - 1)))) + meanOthers + (this.reportTrust.value * server.reportedExcessAt(now, meanOthers, this.classes.all.holdMean));
+		return (server.attempts.size * (1 + (this._tuning.ownCallExtrapolation * (vmCount - 1)))) + meanOthers
+			+ (this.reportTrust.value * server.reportedExcessAt(now, meanOthers, this.classes.all.holdMean));
 	}
 
 	recordCallsOfOtherVms(others: number): void {
--- a/src/common/fleet/shares/shares.test.ts
+++ b/src/common/fleet/shares/shares.test.ts
@@ -65,7 +65,8 @@
 }
 
 function holders(fleet: FakeFleet): string[] {
-	return fleet.vms.filter(({isGone}) => !isGone).map(vm => `${vm.name} ${vm.engine.status(fleet.now).shareSlot === undefined ? 'none' : 'holds'} ${(vm.shares!.connectionFraction * slots).toFixed(1)}`);
+	return fleet.vms.filter(({isGone}) => !isGone)
+		.map(vm => `${vm.name} ${vm.engine.status(fleet.now).shareSlot === undefined ? 'none' : 'holds'} ${(vm.shares!.connectionFraction * slots).toFixed(1)}`);
 }
 
 type Fault = {readonly kind: 'pause' | 'kill' | 'add' | 'stop' | 'outage' | 'cut' | 'lost' | 'suspend'; readonly vm: number; readonly milliseconds: number};
