--- a/src/common/calls/admission.ts
+++ b/src/common/calls/admission.ts
@@ -2,7 +2,7 @@
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {type AttemptRunner} from './attempt-runner.ts';
 import {type Call, objectiveOf} from './call.ts';
-import {type CallEndings} from './call-endings.ts';
+import {type CallCompletion} from './call-completion.ts';
 import {isWaitOver} from './demand-placer.ts';
 import {type EngineContext} from './engine-context.ts';
 import {nextAllowedAt} from './placer.ts';
@@ -30,12 +30,12 @@
 export class Admission {
 	private readonly _context: EngineContext;
 	private readonly _runner: AttemptRunner;
-	private readonly _endings: CallEndings;
+	private readonly _completion: CallCompletion;
 
-	constructor(context: EngineContext, runner: AttemptRunner, endings: CallEndings) {
+	constructor(context: EngineContext, runner: AttemptRunner, completion: CallCompletion) {
 		this._context = context;
 		this._runner = runner;
-		this._endings = endings;
+		this._completion = completion;
 		runner.setEnqueue((call, now) => {
 			this._enqueue(call, now);
 		});
@@ -93,7 +93,7 @@
 
 	private _refuseUnserved(call: Call, now: Instant): void {
 		this._runner.noteGrounds(call, now);
-		this._endings.refuse(call, 'no-backend-server', now);
+		this._completion.refuse(call, 'no-backend-server', now);
 	}
 
 	/**
@@ -108,7 +108,7 @@
 			}
 		}
 
-		this._endings.refuse(call, 'overloaded', now);
+		this._completion.refuse(call, 'overloaded', now);
 	}
 
 	private _enqueue(call: Call, now: Instant): void {
@@ -121,17 +121,17 @@
 		// The rate limits allow no attempt before the latest start, so waiting would only cost the caller time.
 		if (nextAllowedAt(this._context, service, now) > Math.max(now, latestStart(call))) {
 			this._runner.noteGrounds(call, now);
-			this._endings.refuse(call, 'overloaded', now);
+			this._completion.refuse(call, 'overloaded', now);
 			return;
 		}
 
 		if (service.isMeasuredOnDemand && isWaitOver(call, now)) {
-			this._endings.refuse(call, 'overloaded', now);
+			this._completion.refuse(call, 'overloaded', now);
 			return;
 		}
 
 		if (this._isBacklogTooLong(call, now)) {
-			this._endings.refuse(call, 'overloaded', now);
+			this._completion.refuse(call, 'overloaded', now);
 			return;
 		}
 
@@ -140,7 +140,7 @@
 		service.queueNonEmptySince ??= now;
 		this._scheduleQueueCheck(service, now);
 		if (service.queue.size > service.declared.queueLimit) {
-			this._endings.refuse(service.queue.newestOfLargestCaller()!, 'queue-full', now);
+			this._completion.refuse(service.queue.newestOfLargestCaller()!, 'queue-full', now);
 		}
 
 		if (call.state === 'queued') {
--- a/src/common/calls/answer-learning.ts
+++ b/src/common/calls/answer-learning.ts
@@ -25,7 +25,7 @@
 
 	server.onAnswer(time, call.class.answerMean, now);
 	if (server.report !== undefined) {
-		call.serviceState.reportTrust.add(reportedExcess, time / Math.max(0.01, call.class.answerMean));
+		call.serviceState.reportConfidence.add(reportedExcess, time / Math.max(0.01, call.class.answerMean));
 	}
 
 	call.class.addAnswer(time);
--- a/src/common/calls/attempt-runner.ts
+++ b/src/common/calls/attempt-runner.ts
@@ -4,7 +4,7 @@
 import {
 	type Attempt, type AttemptPurpose, type Call, isBodiless, outcomeSoFar,
 } from './call.ts';
-import {type CallEndings} from './call-endings.ts';
+import {type CallCompletion} from './call-completion.ts';
 import {learnFromAnswer} from './answer-learning.ts';
 import {type EngineContext, vmCountOf} from './engine-context.ts';
 import {type OutlierDetector} from './outlier-detector.ts';
@@ -70,7 +70,7 @@
 	readonly prober: LoadProber;
 	/** Starts a second attempt in parallel to a slow first one. */
 	readonly hedging: Hedging;
-	private _endings: CallEndings | undefined;
+	private _completion: CallCompletion | undefined;
 	private _enqueueCall: ((call: Call, now: Instant) => void) | undefined;
 	private _nextId = 1;
 
@@ -94,8 +94,8 @@
 	}
 
 	/** Set after construction, since `CallEndings` and `AttemptRunner` depend on each other. */
-	setEndings(endings: CallEndings): void {
-		this._endings = endings;
+	setCompletion(completion: CallCompletion): void {
+		this._completion = completion;
 	}
 
 	/** Sets the function that queues a call for which no backend server was found; `Admission` provides it. */
@@ -249,7 +249,7 @@
 		call.class.addHold(now - attempt.startedAt);
 		call.serviceState.classes.all.addHold(now - attempt.startedAt);
 		this.remove(attempt);
-		this._context.suspects.clearSuspect(call.request.fingerprint, now);
+		this._context.poisonRequests.clearSuspect(call.request.fingerprint, now);
 		this._getEndings().end(call, outcomeSoFar(call), undefined, now);
 	}
 
@@ -288,7 +288,7 @@
 
 	private _recordAttempt(call: Call, purpose: AttemptPurpose, placement: Placement, now: Instant): Attempt {
 		const {server, isTrial} = placement;
-		const isSuspect = this._context.suspects.isSuspect(call.request.fingerprint);
+		const isSuspect = this._context.poisonRequests.isSuspect(call.request.fingerprint);
 		const attempt: Attempt = {
 			id: this._nextId++,
 			call,
@@ -442,10 +442,10 @@
 	}
 
 	private _isQuarantined(call: Call, now: Instant): boolean {
-		return this._context.suspects.isQuarantined(call.request.fingerprint, now);
+		return this._context.poisonRequests.isQuarantined(call.request.fingerprint, now);
 	}
 
-	private _getEndings(): CallEndings {
-		return this._endings!;
+	private _getEndings(): CallCompletion {
+		return this._completion!;
 	}
 }
--- a/src/common/calls/call-endings.ts
+++ b/src/common/calls/call-completion.ts
@@ -43,7 +43,7 @@
 /** Retry delay after a fault, and the maximum wait for a rate limit that is used up. */
 const faultRetryAfterMilliseconds: Milliseconds = 1000;
 
-export class CallEndings {
+export class CallCompletion {
 	private readonly _context: EngineContext;
 	private readonly _calls: Map<CallId, Call>;
 	private readonly _removeAttempt: (attempt: Attempt) => void;
--- a/src/common/calls/call-engine.ts
+++ b/src/common/calls/call-engine.ts
@@ -5,8 +5,8 @@
 import {
 	type Attempt, type Call, newCall, outcomeSoFar,
 } from './call.ts';
-import {CallEndings} from './call-endings.ts';
-import {CrashSuspects} from './crash-suspects.ts';
+import {CallCompletion} from './call-completion.ts';
+import {PoisonRequestDetector} from './poison-request-detector.ts';
 import {
 	type CallEngineSettings, type EngineContext, type Timer, isTimerLive,
 } from './engine-context.ts';
@@ -45,7 +45,7 @@
 	private readonly _directory: ServiceDirectory;
 	private readonly _outlierDetector: OutlierDetector;
 	private readonly _runner: AttemptRunner;
-	private readonly _endings: CallEndings;
+	private readonly _completion: CallCompletion;
 	private readonly _admission: Admission;
 	private _isCutOff = false;
 
@@ -56,7 +56,7 @@
 			tuning,
 			settings: options.settings,
 			timers: new TimerQueue<Timer>(),
-			suspects: new CrashSuspects(tuning.suspicionMilliseconds),
+			poisonRequests: new PoisonRequestDetector(tuning.suspicionMilliseconds),
 			servicesToDrain: new Set(),
 			replacedServers: [],
 			isPlacingHeld: false,
@@ -82,11 +82,11 @@
 				this._directory.applyAnswerRateLimit(server, rateLimit, startedAt, now);
 			},
 		});
-		this._endings = new CallEndings(this._context, this._calls, attempt => {
+		this._completion = new CallCompletion(this._context, this._calls, attempt => {
 			this._runner.remove(attempt);
 		});
-		this._runner.setEndings(this._endings);
-		this._admission = new Admission(this._context, this._runner, this._endings);
+		this._runner.setCompletion(this._completion);
+		this._admission = new Admission(this._context, this._runner, this._completion);
 	}
 
 	handle(event: CallEvent, now: Instant): readonly CallEffect[] {
@@ -127,7 +127,7 @@
 			callsInFlight,
 			callsQueued,
 			backendServers: this._directory.statuses(now),
-			quarantined: this._context.suspects.quarantined(now),
+			quarantined: this._context.poisonRequests.quarantined(now),
 		};
 	}
 
@@ -222,7 +222,7 @@
 			}
 
 			case 'quarantine-lifted': {
-				this._context.suspects.liftQuarantine(event.fingerprint, now);
+				this._context.poisonRequests.liftQuarantine(event.fingerprint, now);
 				break;
 			}
 		}
@@ -261,7 +261,7 @@
 	private _onCallArrived(request: CallRequest, now: Instant): void {
 		const service = this._directory.service(request.service);
 		if (service === undefined) {
-			this._endings.refuseUnregistered(request, this._directory.version === undefined ? 'not-ready' : 'unknown-service');
+			this._completion.refuseUnregistered(request, this._directory.version === undefined ? 'not-ready' : 'unknown-service');
 			return;
 		}
 
@@ -269,14 +269,14 @@
 		const call = newCall(request, service, now);
 		this._calls.set(request.callId, call);
 		call.timers.push(this._context.timers.add(call.deadline, {type: 'deadline', call}));
-		if (this._context.suspects.isQuarantined(request.fingerprint, now)) {
-			this._endings.refuse(call, 'quarantined', now);
+		if (this._context.poisonRequests.isQuarantined(request.fingerprint, now)) {
+			this._completion.refuse(call, 'quarantined', now);
 			return;
 		}
 
 		// With an outdated configuration, a non-idempotent call could run on a backend server that no longer belongs to the service.
 		if (this._isCutOff && !call.isIdempotent) {
-			this._endings.refuse(call, 'not-ready', now);
+			this._completion.refuse(call, 'not-ready', now);
 			return;
 		}
 
@@ -303,7 +303,7 @@
 	private _onCallerGone(callId: CallId, now: Instant): void {
 		const call = this._calls.get(callId);
 		if (call !== undefined) {
-			this._endings.abandon(call, now);
+			this._completion.abandon(call, now);
 		}
 	}
 
@@ -316,9 +316,9 @@
 		for (const call of this._calls.values()) {
 			const mayRun = call.state === 'claiming' || outcomeSoFar(call) !== 'not-run' || [...call.attempts].some(attempt => attempt.isSent);
 			if (!mayRun) {
-				this._endings.refuse(call, 'stopping', now);
+				this._completion.refuse(call, 'stopping', now);
 			} else if (isOver && call.state !== 'answering') {
-				this._endings.refuse(call, 'outcome-unknown', now, 'unknown');
+				this._completion.refuse(call, 'outcome-unknown', now, 'unknown');
 			}
 		}
 	}
@@ -346,7 +346,7 @@
 		}
 
 		// The key identifies the operation, not this request: an earlier request with the same key may have run.
-		this._endings.refuse(call, claim.type === 'taken' ? 'key-taken' : 'key-unavailable', now, 'unknown');
+		this._completion.refuse(call, claim.type === 'taken' ? 'key-taken' : 'key-unavailable', now, 'unknown');
 	}
 
 	private _onTick(now: Instant): void {
@@ -368,7 +368,7 @@
 				}
 
 				// While the claim is pending, an earlier request with the same key may have run.
-				this._endings.refuse(timer.call, 'deadline-exceeded', now, timer.call.state === 'claiming' ? 'unknown' : undefined);
+				this._completion.refuse(timer.call, 'deadline-exceeded', now, timer.call.state === 'claiming' ? 'unknown' : undefined);
 				break;
 			}
 
@@ -395,8 +395,8 @@
 
 			case 'resume': {
 				this._outlierDetector.onAttemptAbandoned(timer.attempt, now);
-				this._endings.cancelAttempts(timer.attempt.call);
-				this._endings.abortAnswer(timer.attempt.call, now);
+				this._completion.cancelAttempts(timer.attempt.call);
+				this._completion.abortAnswer(timer.attempt.call, now);
 				break;
 			}
 		}
--- a/src/common/calls/demand-placer.ts
+++ b/src/common/calls/demand-placer.ts
@@ -286,7 +286,7 @@
 			return false;
 		}
 
-		return server.suspectsInFlight === 0 || !this._context.suspects.isSuspect(call.request.fingerprint);
+		return server.suspectsInFlight === 0 || !this._context.poisonRequests.isSuspect(call.request.fingerprint);
 	}
 
 	/** `bestAcceptance` = the highest acceptance rate among the candidates. */
--- a/src/common/calls/engine-context.ts
+++ b/src/common/calls/engine-context.ts
@@ -2,7 +2,7 @@
 import {type Instant, type RandomSource} from '../model/units.ts';
 import {type BackendServerState} from './backend-server-state.ts';
 import {type Attempt, type Call} from './call.ts';
-import {type CrashSuspects} from './crash-suspects.ts';
+import {type PoisonRequestDetector} from './poison-request-detector.ts';
 import {type PendingProbes} from './load-prober.ts';
 import {type ServiceState} from './service-state.ts';
 import {type TimerQueue} from './timer-queue.ts';
@@ -44,7 +44,7 @@
 	readonly tuning: CallTuning;
 	readonly settings: CallEngineSettings;
 	readonly timers: TimerQueue<Timer>;
-	readonly suspects: CrashSuspects;
+	readonly poisonRequests: PoisonRequestDetector;
 	/** Services whose queued calls are started or refused at the end of this event, since capacity or servers changed. */
 	readonly servicesToDrain: Set<ServiceState>;
 	/** Records of processes that were replaced by a new one in this event; their attempts are still open. */
--- a/src/common/calls/hedging.ts
+++ b/src/common/calls/hedging.ts
@@ -94,7 +94,7 @@
 
 		const hasRoom = service.queue.size === 0 && !service.limit.isCongested && service.inFlight < service.limit.value;
 		const mayTry = call.probing === undefined && call.attemptCount < (call.request.rule?.attemptLimit ?? defaultAttemptLimit);
-		if (hasRoom && mayTry && call.attempts.size === 1 && !this._context.suspects.isQuarantined(call.request.fingerprint, now) && service.retryBudget.hasToken) {
+		if (hasRoom && mayTry && call.attempts.size === 1 && !this._context.poisonRequests.isQuarantined(call.request.fingerprint, now) && service.retryBudget.hasToken) {
 			call.failedServers.add(attempt.server);
 			if (this._start(call, now)) {
 				service.retryBudget.tryTake();
--- a/src/common/calls/outlier-detector.ts
+++ b/src/common/calls/outlier-detector.ts
@@ -2,7 +2,7 @@
 import {type Instant} from '../model/units.ts';
 import {type BackendServerState} from './backend-server-state.ts';
 import {type Attempt, type Call} from './call.ts';
-import {CrashSuspects} from './crash-suspects.ts';
+import {PoisonRequestDetector} from './poison-request-detector.ts';
 import {type EngineContext} from './engine-context.ts';
 import {type AttemptFailure} from './types.ts';
 
@@ -19,7 +19,7 @@
 	onAttemptFailed(attempt: Attempt, failure: AttemptFailure, now: Instant): void {
 		switch (failure) {
 			case 'connection-refused': {
-				this._context.suspects.confirmCrash(CrashSuspects.crashIdentity(attempt.server.identity, attempt.instance), now);
+				this._context.poisonRequests.confirmCrash(PoisonRequestDetector.crashIdentity(attempt.server.identity, attempt.instance), now);
 				this._recordFailure(attempt, now);
 				break;
 			}
@@ -118,9 +118,9 @@
 	}
 
 	private _reportCrashSuspect(attempt: Attempt, now: Instant): void {
-		const crash = CrashSuspects.crashIdentity(attempt.server.identity, attempt.instance);
+		const crash = PoisonRequestDetector.crashIdentity(attempt.server.identity, attempt.instance);
 		const {fingerprint} = attempt.call.request;
-		if (this._context.suspects.addSuspects(crash, [fingerprint], now)) {
+		if (this._context.poisonRequests.addSuspects(crash, [fingerprint], now)) {
 			this._context.effects.push({
 				type: 'tell-peers',
 				update: {
--- a/src/common/calls/placer.ts
+++ b/src/common/calls/placer.ts
@@ -185,7 +185,7 @@
 
 		// A harmless call beside one that may crash the backend server would be lost, and would become a suspect too.
 		const hasSuspectInFlight = server.suspectsInFlight > 0;
-		if (hasSuspectInFlight && (requiresHealthy || this._context.suspects.isSuspect(call.request.fingerprint))) {
+		if (hasSuspectInFlight && (requiresHealthy || this._context.poisonRequests.isSuspect(call.request.fingerprint))) {
 			return false;
 		}
 
--- a/src/common/calls/crash-suspects.test.ts
+++ b/src/common/calls/poison-request-detector.test.ts
@@ -1,5 +1,5 @@
 import {expect} from 'earl';
-import {CrashSuspects} from './crash-suspects.ts';
+import {PoisonRequestDetector} from './poison-request-detector.ts';
 import {
 	EngineDriver, configurationOf, linesOf, reportOf, requestOf,
 } from './engine-driver.test.ts';
@@ -90,20 +90,20 @@
 	it('counts a crash that several VMs report once, and ends the quarantine in time', () => {
 		// Sixteen VMs report the same crash of one process. Counted sixteen times, it would quarantine all calls in flight.
 		// The quarantine must end, since the backend servers may have been repaired.
-		const suspects = new CrashSuspects(1000);
+		const suspects = new PoisonRequestDetector(1000);
 		for (let vm = 0; vm < 16; vm++) {
-			suspects.addSuspects(CrashSuspects.crashIdentity('identity-1', 'process-1'), ['a', 'b'], vm);
+			suspects.addSuspects(PoisonRequestDetector.crashIdentity('identity-1', 'process-1'), ['a', 'b'], vm);
 		}
 
 		expect(suspects.quarantined(20)).toEqual([]);
-		suspects.addSuspects(CrashSuspects.crashIdentity('identity-2', 'process-9'), ['a', 'c'], 20);
+		suspects.addSuspects(PoisonRequestDetector.crashIdentity('identity-2', 'process-9'), ['a', 'c'], 20);
 		expect(suspects.isQuarantined('a', 30)).toEqual(true);
 		expect(suspects.isQuarantined('a', 1100)).toEqual(false);
 	});
 
 	it('bounds its memory when callers send many fingerprints', () => {
 		// A thousand crashes with different calls in flight. Guards against memory that grows with the calls of callers.
-		const suspects = new CrashSuspects(1_000_000);
+		const suspects = new PoisonRequestDetector(1_000_000);
 		for (let crash = 0; crash < 1000; crash++) {
 			suspects.addSuspects(`crash-${crash}`, Array.from({length: 100}, (_, index) => `print-${crash}-${index}`), crash);
 		}
--- a/src/common/calls/crash-suspects.ts
+++ b/src/common/calls/poison-request-detector.ts
@@ -31,7 +31,7 @@
  * A frequent harmless call is soon cleared by an answer. A rare one is not in flight at two crashes of the harmful call,
  * since a suspect is never placed on a backend server that runs another suspect.
  */
-export class CrashSuspects {
+export class PoisonRequestDetector {
 	private readonly _retentionMilliseconds: Milliseconds;
 	private readonly _crashes = new Map<string, Crash>();
 	private readonly _crashesByFingerprint = new Map<string, Set<string>>();
--- a/src/common/calls/report-trust.ts
+++ b/src/common/calls/report-confidence.ts
@@ -7,18 +7,18 @@
 const initialSlope = 0.05;
 const initialVariance = 2;
 
-/** Slope from which trust is full, in mean answer times for each reported call. */
-const fullTrustSlope = 0.02;
+/** Slope from which confidence is full, in mean answer times for each reported call. */
+const fullConfidenceSlope = 0.02;
 
-/** Trust without any correlation: an idle service shows none either. */
-const baselineTrust = 0.5;
+/** Confidence without any correlation: an idle service shows none either. */
+const baselineConfidence = 0.5;
 
 /**
  * Regression of the answer time on the load that was reported at placement. Made for reports that are delayed or wrong:
  * all VMs send calls to a backend server that was reported idle, which then answers late, so the slope turns negative and
- * trust falls before the calls oscillate between backend servers.
+ * confidence falls before the calls oscillate between backend servers.
  */
-export class ReportTrust {
+export class ReportConfidence {
 	private _meanSignal = 0;
 	private _meanRatio = 1;
 	private _covariance = initialSlope * initialVariance;
@@ -31,8 +31,8 @@
 
 	/** 0 = reports are useless, 1 = reports are fully trusted. */
 	get value(): number {
-		const relation = this.slope / fullTrustSlope;
-		return Math.min(1, Math.max(0, baselineTrust + ((1 - baselineTrust) * relation)));
+		const relation = this.slope / fullConfidenceSlope;
+		return Math.min(1, Math.max(0, baselineConfidence + ((1 - baselineConfidence) * relation)));
 	}
 
 	/** `signal` = reported calls beyond the usual number at placement; `ratio` = answer time relative to the class mean. */
--- a/src/common/calls/service-directory.test.ts
+++ b/src/common/calls/service-directory.test.ts
@@ -1,7 +1,7 @@
 import {expect} from 'earl';
 import {serviceSchema, sharingRuleSchema} from '../model/resources.ts';
 import {seededRandom} from '../random/random.ts';
-import {CrashSuspects} from './crash-suspects.ts';
+import {PoisonRequestDetector} from './poison-request-detector.ts';
 import {ServiceDirectory} from './service-directory.ts';
 import {TimerQueue} from './timer-queue.ts';
 import {defaultTuning} from './tuning.ts';
@@ -12,7 +12,7 @@
 	it('applies the default when a sharing rule is deleted', () => {
 		const directory = new ServiceDirectory({
 			random: seededRandom(1), tuning: defaultTuning, settings: {dataCentre: 'north'}, timers: new TimerQueue(),
-			suspects: new CrashSuspects(1000), servicesToDrain: new Set(), replacedServers: [], shares: undefined,
+			poisonRequests: new PoisonRequestDetector(1000), servicesToDrain: new Set(), replacedServers: [], shares: undefined,
 			isPlacingHeld: false, rateQuota: new SingleVmRateQuota(), effects: [],
 		});
 		const services = new Map([['dues', serviceSchema.parse({kind: 'service', name: 'dues'})]]);
--- a/src/common/calls/service-directory.ts
+++ b/src/common/calls/service-directory.ts
@@ -1,7 +1,7 @@
 /** The declared services and backend servers, their load reports, and the schedule of load probes. */
 import {type Instant, type Milliseconds} from '../model/units.ts';
 import {BackendServerState} from './backend-server-state.ts';
-import {CrashSuspects} from './crash-suspects.ts';
+import {PoisonRequestDetector} from './poison-request-detector.ts';
 import {type EngineContext, vmCountOf} from './engine-context.ts';
 import {LoadProbeSchedule, loadProbeTimeoutMilliseconds} from './load-probe-schedule.ts';
 import {type RateLimitChange} from './rate-limit.ts';
@@ -111,7 +111,7 @@
 			}
 
 			if (update.crash !== undefined) {
-				this._context.suspects.addSuspects(update.crash, update.suspects, now);
+				this._context.poisonRequests.addSuspects(update.crash, update.suspects, now);
 			}
 		}
 	}
@@ -271,7 +271,7 @@
 	 * the old process would be applied to the new one. Open attempts and load probes keep the old record until they end.
 	 */
 	private _replaceProcess(previous: BackendServerState, declared: BackendServerInForce, now: Instant): void {
-		this._context.suspects.confirmCrash(CrashSuspects.crashIdentity(previous.identity, previous.processIdentity), now);
+		this._context.poisonRequests.confirmCrash(PoisonRequestDetector.crashIdentity(previous.identity, previous.processIdentity), now);
 		if (previous.loadProbeTimer !== undefined) {
 			this._loadProbeChecks.remove(previous.loadProbeTimer);
 		}
@@ -290,7 +290,7 @@
 		}
 
 		if (effect.replacedInstance !== undefined) {
-			this._context.suspects.confirmCrash(CrashSuspects.crashIdentity(server.identity, effect.replacedInstance), now);
+			this._context.poisonRequests.confirmCrash(PoisonRequestDetector.crashIdentity(server.identity, effect.replacedInstance), now);
 		}
 
 		// A new process is also sent to the peers, so that they drop the leaving sign of the previous process.
--- a/src/common/calls/service-state.ts
+++ b/src/common/calls/service-state.ts
@@ -7,7 +7,7 @@
 import {CallClasses} from './call-classes.ts';
 import {ArrivalOrderQueue, type CallQueue, FairCallQueue} from './caller-queue.ts';
 import {AdaptiveConcurrencyLimit, type ConcurrencyLimit} from './concurrency-limit.ts';
-import {ReportTrust} from './report-trust.ts';
+import {ReportConfidence} from './report-confidence.ts';
 import {RetryBudget} from './retry-budget.ts';
 import {RetryingCallers} from './retrying-callers.ts';
 import {Headroom} from './headroom.ts';
@@ -49,7 +49,7 @@
 	/** Time of the latest call of this service on this VM. */
 	lastCallAt: Instant = Number.NEGATIVE_INFINITY;
 	readonly classes: CallClasses;
-	readonly reportTrust = new ReportTrust();
+	readonly reportConfidence = new ReportConfidence();
 	/** Model of its answer times, learnt from answers and reports; used only with on-demand load probes. */
 	readonly answerTimes = new AnswerTimeModel();
 	readonly headroom = new Headroom();
@@ -152,12 +152,12 @@
 
 	/**
 	 * Estimated number of calls on a backend server. Own calls are counted exactly. For other VMs, the estimate is their mean
-	 * number plus the excess over it in the latest report, weighted by the trust in reports.
+	 * number plus the excess over it in the latest report, weighted by the confidence in reports.
 	 */
 	loadOf(server: BackendServerState, vmCount: number, now: Instant): number {
 		const meanOthers = this.meanCallsOfOtherVms(vmCount);
 		return (server.attempts.size * (1 + (this._tuning.ownCallExtrapolation * (vmCount - 1)))) + meanOthers
-			+ (this.reportTrust.value * server.reportedExcessAt(now, meanOthers, this.classes.all.holdMean));
+			+ (this.reportConfidence.value * server.reportedExcessAt(now, meanOthers, this.classes.all.holdMean));
 	}
 
 	recordCallsOfOtherVms(others: number): void {
--- a/src/proof/guards/guards.ts
+++ b/src/proof/guards/guards.ts
@@ -13,7 +13,7 @@
 const calls = 'src/common/calls';
 const fleet = 'src/common/fleet';
 const registry = 'src/common/registry';
-const callTests = [`${calls}/{backend,call,crash,load-probe,wake}*.test.ts`, 'src/proof/fuzz/call-fuzz.test.ts'];
+const callTests = [`${calls}/{backend,call,load-probe,poison,wake}*.test.ts`, 'src/proof/fuzz/call-fuzz.test.ts'];
 const fleetTests = [`${fleet}/**/*.test.ts`, 'src/proof/fuzz/fleet-fuzz.test.ts'];
 const frontTests = ['src/node/front/*.test.ts', 'src/proof/bad-input.test.ts'];
 
@@ -34,7 +34,7 @@
 	},
 	{
 		name: 'a call with a cancelled attempt that was sent counts as not run',
-		file: `${calls}/call-endings.ts`,
+		file: `${calls}/call-completion.ts`,
 		text: 'call.mayHaveRun ||= attempt.isSent;',
 		replacement: '',
 		tests: callTests,
@@ -114,7 +114,7 @@
 	{
 		name: 'a call that has crashed backend servers is sent again',
 		file: `${calls}/call-engine.ts`,
-		text: 'this._context.suspects.isQuarantined(request.fingerprint, now)',
+		text: 'this._context.poisonRequests.isQuarantined(request.fingerprint, now)',
 		replacement: 'this._context.suspects.isQuarantined(\'\', now)',
 		tests: callTests,
 	},
