--- a/benchmark/warm-up/main.ts
+++ b/benchmark/warm-up/main.ts
@@ -33,7 +33,7 @@
 		for (const [strategy, makeAdmission] of Object.entries(strategies)) {
 			const runs = Array.from({length: Number(values.seeds)}, (_, seed) => new WarmUpRun(vms, servers, seed + 1, random => makeAdmission(random, servers)).run(disturbance));
 			const mean = (column: 'meanRate' | 'refused') => runs.reduce((sum, run) => sum + run[column], 0) / runs.length;
-			const figures = [String(Math.max(...runs.map(run => run.maxAttemptsInSecond))), mean('meanRate').toFixed(2), mean('refused').toFixed(4)];
+			const figures = [String(Math.max(...runs.map(run => run.peakAttemptsInSecond))), mean('meanRate').toFixed(2), mean('refused').toFixed(4)];
 			process.stdout.write(`${[String(vms), name, strategy, ...figures].map(cell => cell.padStart(13)).join('')}\n`);
 		}
 	}
--- a/benchmark/warm-up/warm-up-run.ts
+++ b/benchmark/warm-up/warm-up-run.ts
@@ -29,7 +29,7 @@
 /** Figures of one burst. */
 export type WarmUpFigures = {
 	/** Maximum number of attempts at one cold backend server within one second. */
-	readonly maxAttemptsInSecond: number;
+	readonly peakAttemptsInSecond: number;
 	/** Mean number of attempts per second at a cold backend server. */
 	readonly meanRate: number;
 	/** Fraction of the calls for which no backend server was available. */
@@ -84,7 +84,7 @@
 
 		const cold = this._servers.filter(server => server.isCold);
 		return {
-			maxAttemptsInSecond: Math.max(...cold.map(server => maxCountInSecond(server.starts))),
+			peakAttemptsInSecond: Math.max(...cold.map(server => maxCountInSecond(server.starts))),
 			meanRate: cold.reduce((sum, server) => sum + server.starts.length, 0) / cold.length / (warmUpMilliseconds / 1000),
 			refused: this._refused / this._calls,
 		};
